--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -18,26 +18,26 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-struct Fixed : front::Core {
+struct Fixed : delivery::PullService {
   explicit Fixed(std::uint32_t lines) {
-    front::Directory places;
-    auto view = std::make_shared<book::View>();
+    delivery::EndpointDirectory places;
+    auto view = std::make_shared<routing_state::RoutingTable>();
     view->terms.resize(2);
     for (std::uint32_t id = 0; id < lines; ++id) {
       places.replicas.push_back({"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
       view->lines.push_back({ReplicaId{id}, 1.0 + id});
     }
-    auto holding = std::make_shared<book::Holding>();
+    auto holding = std::make_shared<routing_state::ProxySnapshot>();
     holding->views = {view, view};
-    told.verdict = {lifetime::Service::replicas, lifetime::Lifetime{2}};
+    told.verdict = {dns::ClientService::replicas, dns::Ttl{2}};
     told.holding = holding;
-    told.directory = std::make_shared<front::Directory>(std::move(places));
+    told.directory = std::make_shared<delivery::EndpointDirectory>(std::move(places));
   }
-  front::Told asked(ProxyId, ClassId) override { return told; }
-  front::Told asked_zone(ZoneId) override { return told; }
-  std::shared_ptr<const front::Directory> directory() const override { return told.directory; }
-  book::VersionNumber version() const override { return {}; }
-  front::Told told;
+  delivery::PullAnswer asked(ProxyId, ClassId) override { return told; }
+  delivery::PullAnswer asked_zone(ZoneId) override { return told; }
+  std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return told.directory; }
+  routing_state::SnapshotVersion version() const override { return {}; }
+  delivery::PullAnswer told;
 };
 
 struct Load {
--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -14,7 +14,7 @@
 
 #include "dns/message.h"
 #include "fleet.h"
-#include "governor/service.h"
+#include "control_plane/control_plane_server.h"
 
 namespace {
 
@@ -36,7 +36,7 @@
   config.dns.most_udp_bytes = 4096;
   auto roll = bench::fleet_roll(replicas, config);
   bench::write_roll(config.roll.path, roll);
-  governor::Service service(config, std::make_shared<spdlog::logger>("none"));
+  control_plane::ControlPlaneServer service(config, std::make_shared<spdlog::logger>("none"));
 
   // The newest moment at which an answer named the replica that drains now.
   std::atomic<std::size_t> draining = replicas;
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "list/roll.h"
+#include "discovery/endpoint_list.h"
 #include "program/support.h"
 
 namespace ospreypost::bench {
@@ -28,8 +28,8 @@
   return config::parse_config(text, "fleet");
 }
 
-inline list::Backend backend(std::size_t n, const config::Config& config) {
-  list::Backend made;
+inline discovery::Endpoint backend(std::size_t n, const config::Config& config) {
+  discovery::Endpoint made;
   made.name = "unit-" + std::to_string(n);
   made.zone = config.zones[n % config.zones.size()];
   made.cell = made.zone;
@@ -37,14 +37,14 @@
   return made;
 }
 
-inline std::vector<list::Backend> fleet_roll(std::size_t replicas, const config::Config& config) {
-  std::vector<list::Backend> roll;
+inline std::vector<discovery::Endpoint> fleet_roll(std::size_t replicas, const config::Config& config) {
+  std::vector<discovery::Endpoint> roll;
   for (std::size_t n = 0; n < replicas; ++n) roll.push_back(backend(n, config));
   return roll;
 }
 
 // Beside, then renamed, as the pages ask of whoever writes it.
-inline void write_roll(const std::string& path, const std::vector<list::Backend>& roll) {
+inline void write_roll(const std::string& path, const std::vector<discovery::Endpoint>& roll) {
   nlohmann::json backends = nlohmann::json::array();
   for (const auto& backend : roll) {
     backends.push_back({{"name", backend.name},
--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -15,7 +15,7 @@
 #include <random>
 
 #include "fleet.h"
-#include "governor/live_governor.h"
+#include "control_plane/control_plane.h"
 #include "record/writer.h"
 
 namespace {
@@ -48,32 +48,32 @@
                          static_cast<std::size_t>(static_cast<double>(values.size()) * share))];
 }
 
-struct Quiet : governor::World {
-  void probe(ReplicaId, const net::Address&) override {}
-  void look_up_list() override {}
-  void log(std::string_view, book::VersionNumber) override {}
+struct Quiet : control_plane::ControlPlaneHost {
+  void request_health_check(ReplicaId, const net::Address&) override {}
+  void refresh_endpoint_list() override {}
+  void log(std::string_view, routing_state::SnapshotVersion) override {}
 };
 
 // The module alone, with a host that drops its orders: what the same sums cost without book, lock and
 // versions.
 struct Deaf : test::DeafHost {
-  void arm(Nanos from_now, TimerId timer) override { due.emplace_back(at + from_now, timer); }
+  void start_timer(Nanos from_now, TimerId timer) override { due.emplace_back(at + from_now, timer); }
   Nanos at{};
   std::vector<std::pair<Nanos, TimerId>> due;
 };
 
 double bare_module_cpu(const config::Config& config, std::size_t replicas, std::size_t lines, int seconds) {
   Deaf host;
-  Governor governor(config.settings, 1, host.at, host);
-  std::vector<ListEntry> entries(replicas);
+  Controller governor(config.settings, 1, host.at, host);
+  std::vector<EndpointUpdate> entries(replicas);
   for (std::size_t n = 0; n < replicas; ++n) {
     entries[n].replica = ReplicaId{static_cast<std::uint32_t>(n)};
     entries[n].zone = ZoneId{static_cast<std::uint16_t>(n % config.settings.zones)};
   }
-  governor.list_received(host.at, ListKind::cached, entries);
+  governor.on_endpoint_list(host.at, EndpointListKind::cached, entries);
   const auto proxies = config.proxies.known.size();
   for (std::size_t p = 0; p < proxies; ++p)
-    governor.proxy_joined(host.at, ProxyId{static_cast<std::uint16_t>(p)}, config.proxies.known[p].zone, 10,
+    governor.on_proxy_joined(host.at, ProxyId{static_cast<std::uint16_t>(p)}, config.proxies.known[p].zone, 10,
                           true);
   const double cpu = cpu_seconds();
   for (int second = 0; second < seconds; ++second) {
@@ -83,13 +83,13 @@
       while (!host.due.empty() && host.due.front().first <= host.at) {
         const auto timer = host.due.front().second;
         host.due.erase(host.due.begin());
-        governor.timer_due(host.at, timer);
+        governor.on_timer(host.at, timer);
       }
       for (std::size_t n = 0; n < lines; ++n) {
         const ReplicaId replica{static_cast<std::uint32_t>((p + n) % replicas)};
-        governor.replica_summed(host.at, {config.proxies.known[p].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
+        governor.on_replica_load_report(host.at, {config.proxies.known[p].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
       }
-      governor.demand_summed(host.at, ProxyId{static_cast<std::uint16_t>(p)}, {ClassId{0}, 10, 0, 1s});
+      governor.on_demand_report(host.at, ProxyId{static_cast<std::uint16_t>(p)}, {ClassId{0}, 10, 0, 1s});
     }
   }
   return (cpu_seconds() - cpu) / seconds;
@@ -107,12 +107,12 @@
   std::unique_ptr<record::Writer> record;
   const auto folder = std::filesystem::temp_directory_path() / "ospreypost-bench-record";
   std::filesystem::remove_all(folder);
-  if (argc > 4) record = std::make_unique<record::Writer>(record::Keeping{folder.string()});
-  governor::LiveGovernor live(config, world, now, {1, "bench"}, record.get());
-  list::Roll roll;
+  if (argc > 4) record = std::make_unique<record::Writer>(record::RetentionPolicy{folder.string()});
+  control_plane::ControlPlane live(config, world, now, {1, "bench"}, record.get());
+  discovery::EndpointList roll;
   auto listed = bench::fleet_roll(replicas, config);
-  const auto wall = [] { return list::WallTime(now()); };
-  live.list_taken(roll.take(now(), wall(), listed));
+  const auto wall = [] { return discovery::WallTime(now()); };
+  live.on_endpoint_list_changed(roll.take(now(), wall(), listed));
   std::vector<double> calls;  // microseconds
   const auto timed = [&](auto call) {
     const auto begun = now();
@@ -148,24 +148,24 @@
       if (told.holding && told.holding->views[0]) {
         lines = std::max(lines, told.holding->views[0]->lines.size());
         for (const auto& line : told.holding->views[0]->lines) {
-          ReplicaSum sum{config.proxies.known[p].zone,
+          ReplicaLoadReport sum{config.proxies.known[p].zone,
                          line.replica,
                          static_cast<std::uint32_t>(1 + chance() % 3),
                          0,
                          50ms,
                          1s,
                          {0.5F}};
-          timed([&] { live.replica_summed(sum, {id, {}}); });
+          timed([&] { live.on_replica_load_report(sum, {id, {}}); });
           ++sums;
         }
       }
-      timed([&] { live.demand_summed({ClassId{0}, 10, 0, 1s}, {id, {}}); });
+      timed([&] { live.on_demand_report({ClassId{0}, 10, 0, 1s}, {id, {}}); });
     }
     // One replica drains each second: when can no answer name it any more?
     auto draining = listed;
     draining[drained].draining = true;
     const auto told_at = now();
-    timed([&] { live.list_taken(roll.take(told_at, wall(), draining)); });
+    timed([&] { live.on_endpoint_list_changed(roll.take(told_at, wall(), draining)); });
     listed = draining;
     const ReplicaId gone{*live.find_replica(listed[drained].name)};
     drained = std::min(drained + 1, replicas / 3);
@@ -192,7 +192,7 @@
       "%.2f ms, most "
       "%.2f ms; resident %.0f MiB; lines waiting at most %.0f of %.0f\n",
       used / wall_took, at(shown, 0.5), at(shown, 1), resident_mib(), live.standing().counts.worst_waiting,
-      config.settings.channel_most_waiting);
+      config.settings.channel_max_queued_entries);
   if (record) {
     live.stop();
     record->stop();
--- a/bench/push.cpp
+++ b/bench/push.cpp
@@ -17,10 +17,10 @@
 #include <thread>
 
 #include "dns/message.h"
-#include "files/folder.h"
+#include "files/generation_store.h"
 #include "fleet.h"
-#include "governor/service.h"
-#include "standin/tables.h"
+#include "control_plane/control_plane_server.h"
+#include "fakes/tables.h"
 
 namespace {
 
@@ -60,7 +60,7 @@
   const auto lines_of = [](const files::Generation& generation) {
     Lines lines;
     for (const auto& [file, text] : generation.files) {
-      for (const auto& target : standin::read_envoy(text).targets)
+      for (const auto& target : fakes::read_envoy(text).targets)
         lines.emplace(file, target.name, target.weight);
     }
     return lines;
@@ -100,7 +100,7 @@
   auto roll = bench::fleet_roll(replicas, config);
   bench::write_roll(config.roll.path, roll);
   const auto started = Clock::now();
-  governor::Service service(config, std::make_shared<spdlog::logger>("none"));
+  control_plane::ControlPlaneServer service(config, std::make_shared<spdlog::logger>("none"));
 
   const auto socket = net::bind_udp({"127.0.0.1", 0});
   const auto answer_names = [&](std::size_t p, const std::string& name) {
--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -13,7 +13,7 @@
 #include "replay/history.h"
 #include "replay/replay.h"
 #include "terms/deployment.h"
-#include "whatif/played.h"
+#include "simulation/simulated_day.h"
 
 namespace {
 
@@ -90,11 +90,11 @@
 
   const auto history = replay::read_history(files);
   const auto deployment = terms::deployment_of(config::parse_config(history.configuration, "recorded"));
-  whatif::Fleet fleet;
+  simulation::Fleet fleet;
   const double fitting =
-      seconds_of([&] { fleet = whatif::fit(history, deployment, whatif::Assume::middle); });
-  whatif::PlayedDay day;
-  const double playing = seconds_of([&] { day = whatif::play(history, deployment, fleet, 1); });
+      seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assume::middle); });
+  simulation::PlayedDay day;
+  const double playing = seconds_of([&] { day = simulation::play(history, deployment, fleet, 1); });
   std::printf("the model: fitted in %.2f s; a day played %.0f times as fast as lived\n", fitting,
               lived / playing);
   return 0;
--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,5 +1,5 @@
 // Configurations and days as anybody may write them.
-#include "day/script.h"
+#include "scenario/scenario.h"
 #include "program/support.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
@@ -7,11 +7,11 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   try {
     config::parse_config(text, "fuzz");
-  } catch (const config::Faulty&) {
+  } catch (const config::ConfigError&) {
   }
   try {
-    day::parse_script(text, "fuzz", ".");
-  } catch (const config::Faulty&) {
+    scenario::parse_script(text, "fuzz", ".");
+  } catch (const config::ConfigError&) {
   }
   return 0;
 }
--- a/fuzz/registry.cpp
+++ b/fuzz/discovery_update.cpp
@@ -1,16 +1,16 @@
 // Lists as discovery may send them, one after the other.
 #include <cstdlib>
 
-#include "platform/places.h"
+#include "platform/endpoint_registry.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
-  platform::Places places({"east"}, {"new"}, Nanos{-5});
+  platform::EndpointRegistry places({"east"}, {"new"}, Nanos{-5});
   std::string_view text(reinterpret_cast<const char*>(data), size);
   while (!text.empty()) {
     const auto end = text.find('\n');
     try {
-      const auto roster = sources::parse_roster(text.substr(0, end));
+      const auto roster = discovery::parse_endpoint_list_update(text.substr(0, end));
       const auto taken = places.take(roster);
       if (taken.entries.size() + taken.refused > roster.members.size()) std::abort();
     } catch (const net::Error&) {
--- a/fuzz/dns_question.cpp
+++ b/fuzz/dns_question.cpp
@@ -8,14 +8,14 @@
 
 using namespace ospreypost;
 
-struct Nobody : front::Core {
-  front::Told asked(ProxyId, ClassId) override { return told; }
-  front::Told asked_zone(ZoneId) override { return told; }
-  std::shared_ptr<const front::Directory> directory() const override { return told.directory; }
-  book::VersionNumber version() const override { return {}; }
+struct Nobody : delivery::PullService {
+  delivery::PullAnswer asked(ProxyId, ClassId) override { return told; }
+  delivery::PullAnswer asked_zone(ZoneId) override { return told; }
+  std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return told.directory; }
+  routing_state::SnapshotVersion version() const override { return {}; }
   Nobody() {
-    front::Directory places;
-    auto view = std::make_shared<book::View>();
+    delivery::EndpointDirectory places;
+    auto view = std::make_shared<routing_state::RoutingTable>();
     view->terms.resize(2);
     for (std::uint32_t id = 0; id < 40; ++id) {
       const auto name = "unit-" + std::to_string(id);
@@ -23,13 +23,13 @@
       places.by_name[name] = ReplicaId{id};
       view->lines.push_back({ReplicaId{id}, 1.0});
     }
-    auto holding = std::make_shared<book::Holding>();
+    auto holding = std::make_shared<routing_state::ProxySnapshot>();
     holding->views = {view, view};
-    told.verdict.service = lifetime::Service::replicas;
+    told.verdict.service = dns::ClientService::replicas;
     told.holding = holding;
-    told.directory = std::make_shared<front::Directory>(std::move(places));
+    told.directory = std::make_shared<delivery::EndpointDirectory>(std::move(places));
   }
-  front::Told told;
+  delivery::PullAnswer told;
 };
 
 }  // namespace
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -12,7 +12,7 @@
 #include "record.pb.h"
 #include "replay/export_day.h"
 #include "terms/deployment.h"
-#include "whatif/played.h"
+#include "simulation/simulated_day.h"
 
 namespace {
 
@@ -39,7 +39,7 @@
   for (const auto& entry : block.entries()) reader.entry(entry);
   try {
     const auto history = reader.end({});
-    const auto fleet = whatif::fit(history, deployment, whatif::Assume::middle);
+    const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
     for (const auto& replica : fleet.replicas) {
       if (!(replica.cores >= 1) || !(replica.slowness > 0)) std::abort();
     }
@@ -49,7 +49,7 @@
       for (const auto& asked : report.asked) operations += asked.operations;
     }
     if (operations <= kMostOperations && history.length <= kLongest)
-      whatif::play(history, deployment, fleet, 1);
+      simulation::play(history, deployment, fleet, 1);
   } catch (const std::invalid_argument&) {
   } catch (const std::out_of_range&) {
     std::abort();
--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-struct Deaf : ospreypost::platform::Told {
-  void asked_for_life() override {}
-  void proxy_said_hello(ospreypost::ProxyId proxy, ospreypost::ZoneId zone, double rate, bool) override {
+struct Deaf : ospreypost::platform::MessageHandler {
+  void on_liveness_request() override {}
+  void on_proxy_hello(ospreypost::ProxyId proxy, ospreypost::ZoneId zone, double rate, bool) override {
     if (static_cast<unsigned>(proxy) > 9 || static_cast<unsigned>(zone) > 1 || !(rate >= 0)) std::abort();
   }
-  void collector_said_hello(ospreypost::ZoneId) override {}
-  void replica_summed(const ospreypost::ReplicaSum& sum) override {
-    if (sum.failed > sum.tries || sum.span <= ospreypost::Nanos{} || sum.mean_time < ospreypost::Nanos{})
+  void on_collector_hello(ospreypost::ZoneId) override {}
+  void on_replica_load_report(const ospreypost::ReplicaLoadReport& sum) override {
+    if (sum.failed > sum.attempts || sum.span <= ospreypost::Nanos{} || sum.mean_latency < ospreypost::Nanos{})
       std::abort();
     if (!sum.load.empty() && (sum.load.size() != 2 || !(sum.load[0] >= 0) || !(sum.load[1] >= 0)))
       std::abort();
   }
-  void demand_summed(ospreypost::ProxyId, const ospreypost::Demand& demand) override {
+  void on_demand_report(ospreypost::ProxyId, const ospreypost::DemandReport& demand) override {
     if (static_cast<unsigned>(demand.cls) > 1 || demand.span <= ospreypost::Nanos{}) std::abort();
   }
-  void mark_answered(ospreypost::ProxyId, std::uint64_t, ospreypost::Nanos took) override {
+  void on_acknowledgement(ospreypost::ProxyId, std::uint64_t, ospreypost::Nanos took) override {
     if (took < ospreypost::Nanos{}) std::abort();
   }
 };
@@ -30,12 +30,12 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
-  platform::Vocabulary known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
+  platform::MessageNames known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
   known.replica_of = [](std::string_view name) {
     return name == "s-1" ? std::optional(ReplicaId{7}) : std::nullopt;
   };
   if (size == 0) return 0;
-  const auto from = static_cast<platform::Party>(data[0] % 3);
+  const auto from = static_cast<platform::PeerRole>(data[0] % 3);
   const std::size_t piece = 1 + data[0] / 3;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
   resp::Reader reader({4096, 32});
@@ -45,17 +45,17 @@
       reader.put(bytes.substr(at, piece));
       while (const auto words = reader.next()) {
         try {
-          platform::read_message(*words, known, from, ProxyId{3}, deaf);
-        } catch (const platform::Spoilt&) {
+          platform::parse_message(*words, known, from, ProxyId{3}, deaf);
+        } catch (const platform::MessageError&) {
         }
       }
       if (reader.held() > 4096 + piece + 32) std::abort();
     }
-  } catch (const resp::Malformed&) {
+  } catch (const resp::ProtocolError&) {
   }
   try {
     platform::read_report(bytes, known.load_columns);
-  } catch (const platform::Spoilt&) {
+  } catch (const platform::MessageError&) {
   }
   return 0;
 }
--- a/fuzz/tables.cpp
+++ b/fuzz/tables.cpp
@@ -1,5 +1,5 @@
 // Both readers of table files, as a proxy would meet whatever lies there.
-#include "standin/tables.h"
+#include "fakes/tables.h"
 
 #include <cstdlib>
 
@@ -8,8 +8,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
   const std::string text(reinterpret_cast<const char*>(data), size);
-  for (const auto& table : {standin::read_envoy(text), standin::read_upstream(text)}) {
-    if (table.kind == standin::Resolved::Kind::failed && !table.targets.empty()) std::abort();
+  for (const auto& table : {fakes::read_envoy(text), fakes::read_upstream(text)}) {
+    if (table.kind == fakes::Resolved::Kind::failed && !table.targets.empty()) std::abort();
   }
   return 0;
 }
--- a/src/judge/judge.cpp
+++ b/src/checker/invariant_checker.cpp
@@ -1,11 +1,11 @@
-#include "judge/judge.h"
+#include "checker/invariant_checker.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <deque>
 #include <set>
 
-namespace ospreypost::judge {
+namespace ospreypost::checker {
 namespace {
 
 constexpr Time kWindow = std::chrono::seconds(10);  // the worst one counts for the service
@@ -91,12 +91,12 @@
   // When some replica was ready and warm, in pieces that may overlap.
   std::vector<Interval> servable;
   for (const auto& [replica, listed] : facts.lists) {
-    for (auto& ready : intervals(listed, [](const Listed& l) { return l.phase == Phase::ready; })) {
+    for (auto& ready : intervals(listed, [](const Listed& l) { return l.phase == EndpointPhase::ready; })) {
       const auto lives = facts.lives.find(replica);
       if (lives == facts.lives.end()) continue;
       Time warm = kNever;
       for (const auto& life : lives->second) {
-        if (life.at < ready.to) warm = life.at + life.cold_time;
+        if (life.at < ready.to) warm = life.at + life.warm_up_duration;
       }
       const Interval piece{std::max(ready.from, warm), ready.to};
       if (piece.from < piece.to) servable.push_back(piece);
@@ -136,8 +136,8 @@
     }
   }
   for (const auto& [key, since] : bare_since) count(key.first, {since, end});
-  return {"no proxy bare", worst <= limits.bare_limit,
-          text("longest %.2f s of %.2f s allowed", seconds(worst), seconds(limits.bare_limit)) +
+  return {"no proxy bare", worst <= limits.max_time_without_endpoints,
+          text("longest %.2f s of %.2f s allowed", seconds(worst), seconds(limits.max_time_without_endpoints)) +
               (whose.empty() ? "" : ", " + whose)};
 }
 
@@ -165,7 +165,7 @@
   std::map<std::string, std::vector<Interval>> closed;
   for (const auto& [replica, listed] : facts.lists) {
     closed[replica] = intervals(listed, [&](const Listed& l) {
-      return l.phase == Phase::draining || (l.phase == Phase::gone && !limits.only_draining_binds);
+      return l.phase == EndpointPhase::draining || (l.phase == EndpointPhase::gone && !limits.only_draining_is_binding);
     });
   }
   std::map<std::string, Time> first_answer;
@@ -195,9 +195,9 @@
   const Time step = (to - from) / steps;
   for (int n = 0; n < steps; ++n) {
     const Time middle = from + n * step + step / 2;
-    const double age = life.cold_time > Time{} ? seconds(middle - life.at) / seconds(life.cold_time) : 1;
+    const double age = life.warm_up_duration > Time{} ? seconds(middle - life.at) / seconds(life.warm_up_duration) : 1;
     done +=
-        seconds(step) * life.capacity * (life.cold_share + (1 - life.cold_share) * std::clamp(age, 0.0, 1.0));
+        seconds(step) * life.capacity * (life.initial_warm_up_capacity + (1 - life.initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0));
   }
   return done;
 }
@@ -219,7 +219,7 @@
     const auto listed = facts_.lists.find(arrived.replica);
     if (sender == senders_.end() || listed == facts_.lists.end()) return false;
     for (const auto& told : listed->second) {
-      if (told.at < life.at || told.phase != Phase::ready) continue;
+      if (told.at < life.at || told.phase != EndpointPhase::ready) continue;
       const Time sent = sender->second.at;
       if (sent >= told.at + limits_.drain_grace) return true;
       const auto known = answers_.find(sender->second.proxy);
@@ -244,11 +244,11 @@
   double worst = 0, work = 0, known = 0;
   std::deque<std::pair<Arrived, bool>> window;
   for (const auto& arrived : arrivals) {
-    if (arrived.at < life.at || arrived.at >= life.at + life.cold_time) continue;
+    if (arrived.at < life.at || arrived.at >= life.at + life.warm_up_duration) continue;
     window.emplace_back(arrived, knowing(life, arrived));
     work += arrived.work_seconds;
     known += window.back().second ? arrived.work_seconds : 0;
-    while (window.front().first.at < arrived.at - limits.fall_time) {
+    while (window.front().first.at < arrived.at - limits.overload_duration) {
       work -= window.front().first.work_seconds;
       known -= window.front().second ? window.front().first.work_seconds : 0;
       window.pop_front();
@@ -256,8 +256,8 @@
     if (known < work * 2 / 3) continue;
     // Chance: an operation more or less than the budget is no fall.
     const double slack = 2 * arrived.work_seconds;
-    const Time from = std::max(life.at, arrived.at - limits.fall_time);
-    worst = std::max(worst, std::max(0.0, work - slack) / could_do(life, from, from + limits.fall_time));
+    const Time from = std::max(life.at, arrived.at - limits.overload_duration);
+    worst = std::max(worst, std::max(0.0, work - slack) / could_do(life, from, from + limits.overload_duration));
   }
   return worst;
 }
@@ -271,13 +271,13 @@
   std::string where;
   for (const auto& [replica, lives] : facts.lives) {
     for (const auto& life : lives) {
-      if (life.cold_share >= 1) continue;
+      if (life.initial_warm_up_capacity >= 1) continue;
       const double multiple = worst_multiple(life, arrivals[replica], knowing, limits);
       if (multiple > worst) worst = multiple, where = replica;
     }
   }
-  return {"no cold replica pushed over", worst <= limits.fall_multiple,
-          text("at most %.2f times what it could do, of %.2f allowed", worst, limits.fall_multiple) +
+  return {"no cold replica pushed over", worst <= limits.overload_multiple,
+          text("at most %.2f times what it could do, of %.2f allowed", worst, limits.overload_multiple) +
               (where.empty() ? "" : ", " + where)};
 }
 
@@ -293,14 +293,14 @@
     last = answer.version;
     auto& window = messages[answer.proxy];
     window.push_back(answer.at);
-    while (window.front() <= answer.at - limits.messages_window) window.pop_front();
+    while (window.front() <= answer.at - limits.message_window) window.pop_front();
     most = std::max(most, window.size());
   }
-  const bool few = limits.messages_allowed == 0 || most <= limits.messages_allowed;
+  const bool few = limits.max_messages_per_window == 0 || most <= limits.max_messages_per_window;
   return {"the queue short", few && worst_waiting <= limits.most_waiting,
           text("%.0f lines waiting at most, of %.0f allowed; ", worst_waiting, limits.most_waiting) +
               std::to_string(most) + " messages to one proxy in a window, of " +
-              std::to_string(limits.messages_allowed) + " allowed"};
+              std::to_string(limits.max_messages_per_window) + " allowed"};
 }
 
 Service service_of(const Trace& trace, const Limits& limits, Time end) {
@@ -319,13 +319,13 @@
     double earned = 0;
     if (operation.answered) {
       const Time took = *operation.answered - operation.asked;
-      if (took <= cls.abandon_time) earned = cls.late_payoff * cls.payoff;
-      if (took <= cls.target_time) earned = cls.payoff;
+      if (took <= cls.request_deadline) earned = cls.late_priority_weight * cls.priority_weight;
+      if (took <= cls.latency_objective) earned = cls.priority_weight;
     }
     begin = std::min(begin, operation.asked);
     for (auto* sum : {&whole, &by_class[operation.cls],
                       &by_second[std::chrono::floor<std::chrono::seconds>(operation.asked)]}) {
-      sum->asked += cls.payoff;
+      sum->asked += cls.priority_weight;
       sum->earned += earned;
     }
   }
@@ -368,10 +368,10 @@
     const auto terms = limits.classes.find(operation.cls);
     const auto at = static_cast<std::size_t>(std::max(operation.asked - begin, Time{}) / second);
     if (at >= asked.size() || terms == limits.classes.end()) continue;
-    asked[at] += terms->second.payoff;
+    asked[at] += terms->second.priority_weight;
     const bool in_time =
-        operation.answered && *operation.answered - operation.asked <= terms->second.target_time;
-    if (in_time) earned[at] += terms->second.payoff;
+        operation.answered && *operation.answered - operation.asked <= terms->second.latency_objective;
+    if (in_time) earned[at] += terms->second.priority_weight;
   }
   for (std::size_t n = 0; n < asked.size(); ++n) earned[n] = asked[n] > 0 ? earned[n] / asked[n] : 1;
   return earned;
--- a/src/judge/judge.h
+++ b/src/checker/invariant_checker.h
@@ -5,24 +5,24 @@
 #include <string>
 #include <vector>
 
-#include "judge/trace.h"
+#include "checker/trace.h"
 
-namespace ospreypost::judge {
+namespace ospreypost::checker {
 
 struct ClassTerms {
   bool at_most_once = true;
-  Time target_time{}, abandon_time{};
-  double payoff = 1, late_payoff = 0;
+  Time latency_objective{}, request_deadline{};
+  double priority_weight = 1, late_priority_weight = 0;
 };
 
 struct Limits {
   Time drain_grace{};
-  bool only_draining_binds = false;  // one that is merely gone from the list may be sent to
-  Time bare_limit{};
-  double fall_multiple = 0;
-  Time fall_time{};
-  std::size_t messages_allowed = 0;
-  Time messages_window{};
+  bool only_draining_is_binding = false;  // one that is merely gone from the list may be sent to
+  Time max_time_without_endpoints{};
+  double overload_multiple = 0;
+  Time overload_duration{};
+  std::size_t max_messages_per_window = 0;
+  Time message_window{};
   double most_waiting = 0;
   std::map<std::string, ClassTerms> classes;
   // Proxies that were served with replicas from their first question on; the others show themselves first.
--- a/src/judge/trace.h
+++ b/src/checker/trace.h
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-namespace ospreypost::judge {
+namespace ospreypost::checker {
 
 using Time = std::chrono::nanoseconds;  // of one monotonic clock for the whole run
 
-enum class Phase { ready, draining, gone };
+enum class EndpointPhase { ready, draining, gone };
 
 // The list that the governor reads says so from then on.
 struct Listed {
   Time at{};
   std::string replica;
-  Phase phase = Phase::ready;
+  EndpointPhase phase = EndpointPhase::ready;
 };
 // A governor runs, or does no longer.
 struct Governing {
@@ -32,8 +32,8 @@
   Time at{};
   std::string replica;
   double capacity = 1;
-  double cold_share = 1;
-  Time cold_time{};
+  double initial_warm_up_capacity = 1;
+  Time warm_up_duration{};
 };
 // A replica took in an operation that costs it so much.
 struct Arrived {
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 
 #include "cli/commands.h"
-#include "day/run.h"
+#include "scenario/run.h"
 
 namespace ospreypost::cli {
 namespace {
@@ -20,10 +20,10 @@
 }  // namespace
 
 int day(const DayOptions& options) {
-  auto script = day::read_script(options.path);
+  auto script = scenario::read_script(options.path);
   if (options.seed) script.seed = *options.seed;
   if (!options.setting.empty()) script.governor_path = options.setting;
-  day::PlayOptions playing;
+  scenario::PlayOptions playing;
   playing.program = std::filesystem::read_symlink("/proc/self/exe").string();
   playing.folder = options.keep;
   playing.equal_weights = options.equal_weights;
@@ -32,7 +32,7 @@
     std::fflush(stdout);
   };
   std::printf("day %s, %.0f s, seed %u\n", script.name.c_str(), seconds(script.length), script.seed);
-  const auto played = day::play(script, playing);
+  const auto played = scenario::play(script, playing);
   std::printf("service by second  %s\n", strip(played.service_by_second).c_str());
   for (const auto& rule : played.verdict.rules) {
     if (options.equal_weights) break;  // nobody is there to keep them
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -131,7 +131,7 @@
 int main(int argc, char** argv) {
   try {
     return run(argc, argv);
-  } catch (const ospreypost::config::Faulty& error) {
+  } catch (const ospreypost::config::ConfigError& error) {
     std::cerr << error.what() << '\n';
     return 2;
   } catch (const std::exception& error) {
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -7,7 +7,7 @@
 #include "cli/commands.h"
 #include "cli/logging.h"
 #include "config/xml.h"
-#include "platform/service.h"
+#include "platform/platform_server.h"
 
 namespace ospreypost::cli {
 
@@ -22,8 +22,8 @@
   ::mallopt(M_ARENA_MAX, 1);
 
   const char* const path = std::getenv("ROUTER_CONFIG");
-  if (!path) throw config::Faulty("ROUTER_CONFIG is not set: it names the platform's configuration");
-  const auto environment = ospreypost::platform::read_environment(path);
+  if (!path) throw config::ConfigError("ROUTER_CONFIG is not set: it names the platform's configuration");
+  const auto environment = ospreypost::platform::read_platform_config(path);
   const auto log = make_logger(config::Logging{}, environment.name);
   ospreypost::platform::Service service(environment, log);
   log->info("serving at {}", service.address().text());
@@ -32,7 +32,7 @@
     sigwait(&heeded, &signal);
     if (signal != SIGHUP) break;
     try {
-      service.renew(ospreypost::platform::read_environment(path));
+      service.renew(ospreypost::platform::read_platform_config(path));
     } catch (const std::exception& error) {
       log->error("the new configuration changes nothing: {}", error.what());
     }
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -7,7 +7,7 @@
 
 #include "cli/commands.h"
 #include "config/config.h"
-#include "day/script.h"
+#include "scenario/scenario.h"
 #include "net/socket.h"
 #include "record/edit.h"
 #include "replay/anonymise.h"
@@ -33,7 +33,7 @@
 Nanos time_of(const std::string& text, const char* option) {
   const auto time = config::parse_duration(text);
   if (!time)
-    throw config::Faulty(std::string(option) + " takes a time since the record's beginning, such as '90 s'");
+    throw config::ConfigError(std::string(option) + " takes a time since the record's beginning, such as '90 s'");
   return *time;
 }
 
@@ -41,7 +41,7 @@
   record::Window window;
   if (!options.from.empty()) window.from = time_of(options.from, "--from");
   if (!options.to.empty()) window.to = time_of(options.to, "--to");
-  if (window.to < window.from) throw config::Faulty("--to lies before --from");
+  if (window.to < window.from) throw config::ConfigError("--to lies before --from");
   return window;
 }
 
@@ -124,12 +124,12 @@
   const auto config = config::parse_config(history.configuration, "the recorded configuration");
   const auto deployment = terms::deployment_of(config);
   try {
-    const auto fleet = whatif::fit(history, deployment, whatif::Assume::middle);
+    const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
     const auto made =
         replay::export_day(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
     const auto day = (fs::path(options.out) / "day.xml").string();
     // What cannot be played is not written.
-    day::parse_script(made.day, day, options.out);
+    scenario::parse_script(made.day, day, options.out);
     std::error_code failed;
     fs::create_directories(options.out, failed);
     for (const auto& [name, text] :
@@ -142,7 +142,7 @@
     }
     std::printf("%s\n", day.c_str());
   } catch (const std::invalid_argument& error) {
-    throw config::Faulty(error.what());
+    throw config::ConfigError(error.what());
   }
   return 0;
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -4,7 +4,7 @@
 #include "cli/commands.h"
 #include "cli/logging.h"
 #include "config/config.h"
-#include "governor/service.h"
+#include "control_plane/control_plane_server.h"
 
 namespace ospreypost::cli {
 
@@ -20,7 +20,7 @@
   std::signal(SIGXFSZ, SIG_IGN);
 
   const auto log = make_logger(config.logging, config.name);
-  governor::Service service(config, log);
+  control_plane::ControlPlaneServer service(config, log);
   std::cout << "ready dns " << service.dns_address().text() << " reports " << service.http_address().text()
             << std::endl;
   int signal = 0;
--- a/src/cli/what_if.cpp
+++ b/src/cli/what_if.cpp
@@ -12,7 +12,7 @@
 #include "replay/history.h"
 #include "report/page.h"
 #include "terms/deployment.h"
-#include "whatif/answer.h"
+#include "simulation/answer.h"
 
 namespace ospreypost::cli {
 namespace {
@@ -26,8 +26,8 @@
   if (done + 1 == all) std::fprintf(stderr, "\r\033[K");
 }
 
-void print(const whatif::History& history, const whatif::ModelError& error,
-           const std::vector<whatif::Answer>& answers) {
+void print(const simulation::History& history, const simulation::ModelError& error,
+           const std::vector<simulation::Answer>& answers) {
   std::printf("recorded: %.1f s, %zu lives of a governor, %zu reports, %zu replicas\n",
               seconds(history.length), history.lives.size(), history.reports.size(), history.replicas.size());
   if (history.lost + history.damaged > 0) {
@@ -61,22 +61,22 @@
   }
 }
 
-nlohmann::json json_of(const whatif::Bounded& bounded) {
+nlohmann::json json_of(const simulation::Bounded& bounded) {
   return {{"figure", bounded.figure},
           {"least", bounded.least},
           {"most", bounded.most},
           {"spread", bounded.spread}};
 }
 
-nlohmann::json json_of(const std::vector<whatif::Counted>& counts) {
+nlohmann::json json_of(const std::vector<simulation::Counted>& counts) {
   auto rows = nlohmann::json::array();
   for (const auto& second : counts) rows.push_back({second.worth, second.unanswered});
   return rows;
 }
 
-nlohmann::json json_of(const whatif::History& history, const whatif::Deployment& recorded,
-                       const whatif::Fleet& fleet) {
-  nlohmann::json json = {{"variation", fleet.variation},          {"cold-share", fleet.cold_share},
+nlohmann::json json_of(const simulation::History& history, const simulation::Deployment& recorded,
+                       const simulation::Fleet& fleet) {
+  nlohmann::json json = {{"variation", fleet.variation},          {"cold-share", fleet.initial_warm_up_capacity},
                          {"cold-seen", fleet.cold_seen},          {"cores-seen", fleet.cores_seen},
                          {"push-time", seconds(fleet.push_time)}, {"unseen", fleet.unseen}};
   for (std::size_t k = 0; k < fleet.work.size(); ++k)
@@ -94,9 +94,9 @@
 }
 
 // Recorded and modelled apart.
-nlohmann::json json_of(const whatif::History& history, const whatif::Deployment& recorded,
-                       const whatif::ModelError& error, const whatif::Fleet& fleet,
-                       const std::vector<whatif::Answer>& answers) {
+nlohmann::json json_of(const simulation::History& history, const simulation::Deployment& recorded,
+                       const simulation::ModelError& error, const simulation::Fleet& fleet,
+                       const std::vector<simulation::Answer>& answers) {
   nlohmann::json json;
   json["recorded"] = {{"seconds", seconds(history.length)},
                       {"lives", history.lives.size()},
@@ -106,7 +106,7 @@
                       {"damaged", history.damaged},
                       {"guessed", history.guessed},
                       {"answered", error.recorded},
-                      {"worth-and-unanswered-by-second", json_of(whatif::counted(history, recorded))}};
+                      {"worth-and-unanswered-by-second", json_of(simulation::counted(history, recorded))}};
   auto& modelled = json["modelled"];
   modelled["error"] = {{"stretch", seconds(error.stretch)}, {"stretches", error.stretches},
                        {"answered", error.modelled},        {"mean", error.mean},
@@ -143,19 +143,19 @@
   const auto history = replay::read_history(record::files_of(options.records));
   const auto recorded =
       terms::deployment_of(config::parse_config(history.configuration, "the recorded configuration"));
-  whatif::Asking asking;
+  simulation::Asking asking;
   asking.draws = options.draws;
   std::string label = "the model's error";
   asking.progress = [&](std::size_t done, std::size_t all) { show_progress(label, done, all); };
   try {
-    const auto error = whatif::error_of(history, recorded, asking);
-    std::vector<whatif::Answer> answers;
+    const auto error = simulation::error_of(history, recorded, asking);
+    std::vector<simulation::Answer> answers;
     label = "as recorded";
-    const auto fitted = whatif::fit_all(history, recorded);
-    answers.push_back(whatif::answer(history, fitted, recorded, recorded, label, asking));
+    const auto fitted = simulation::fit_all(history, recorded);
+    answers.push_back(simulation::answer(history, fitted, recorded, recorded, label, asking));
     for (const auto& path : options.settings) {
       label = std::filesystem::path(path).stem().string();
-      answers.push_back(whatif::answer(history, fitted, recorded,
+      answers.push_back(simulation::answer(history, fitted, recorded,
                                        terms::deployment_of(config::read_config(path)), label, asking));
     }
     if (!options.report.empty()) report::write_page(options.report, {history, error, answers});
@@ -165,7 +165,7 @@
       print(history, error, answers);
     }
   } catch (const std::invalid_argument& error) {
-    throw config::Faulty(label + ": " + error.what());
+    throw config::ConfigError(label + ": " + error.what());
   }
   return 0;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -34,18 +34,18 @@
   }
 }
 
-constexpr std::array<std::pair<LoadColumn, const char*>, 6> kColumns{{{LoadColumn::util, "util"},
-                                                                      {LoadColumn::inflight, "inflight"},
-                                                                      {LoadColumn::queue, "queue"},
-                                                                      {LoadColumn::latency, "latency"},
-                                                                      {LoadColumn::rate, "rate"},
-                                                                      {LoadColumn::errors, "errors"}}};
+constexpr std::array<std::pair<LoadMetric, const char*>, 6> kColumns{{{LoadMetric::util, "util"},
+                                                                      {LoadMetric::inflight, "inflight"},
+                                                                      {LoadMetric::queue, "queue"},
+                                                                      {LoadMetric::latency, "latency"},
+                                                                      {LoadMetric::rate, "rate"},
+                                                                      {LoadMetric::errors, "errors"}}};
 
-LoadColumn column(const std::string& name) {
+LoadMetric column(const std::string& name) {
   for (const auto& [known, text] : kColumns) {
     if (name == text) return known;
   }
-  return LoadColumn::other;
+  return LoadMetric::other;
 }
 
 std::vector<std::string> names_in(const std::optional<Element>& list) {
@@ -57,45 +57,45 @@
 
 ClassSettings read_class(const Element& element, const Config& config) {
   ClassSettings cls;
-  cls.effect = chosen<Effect>(element, "effect",
-                              {{"idempotent", Effect::idempotent},
-                               {"deduplicated", Effect::deduplicated},
-                               {"at-most-once", Effect::at_most_once}});
-  cls.target_time = element.time("target-time");
-  cls.abandon_time = element.time("abandon-time");
-  if (cls.target_time <= Nanos{}) element.fail("target-time must be above 0");
-  if (cls.abandon_time < cls.target_time) element.fail("abandon-time must not be below target-time");
-  cls.payoff = element.number("payoff");
-  cls.late_payoff = element.number("late-payoff");
-  cls.home_only = element.yes("home-only");
+  cls.effect = chosen<Idempotency>(element, "effect",
+                              {{"idempotent", Idempotency::idempotent},
+                               {"deduplicated", Idempotency::deduplicated},
+                               {"at-most-once", Idempotency::at_most_once}});
+  cls.latency_objective = element.time("target-time");
+  cls.request_deadline = element.time("abandon-time");
+  if (cls.latency_objective <= Nanos{}) element.fail("target-time must be above 0");
+  if (cls.request_deadline < cls.latency_objective) element.fail("abandon-time must not be below target-time");
+  cls.priority_weight = element.number("payoff");
+  cls.late_priority_weight = element.number("late-payoff");
+  cls.same_zone_only = element.yes("home-only");
   for (const auto& zone : element.words("only-zones"))
-    cls.only_zones.push_back(named<ZoneId>(element, config.zones, zone, "zone"));
+    cls.allowed_zones.push_back(named<ZoneId>(element, config.zones, zone, "zone"));
   for (const auto& kind : element.words("only-kinds"))
-    cls.only_kinds.push_back(named<KindId>(element, config.kinds, kind, "kind"));
+    cls.allowed_kinds.push_back(named<HardwareKindId>(element, config.kinds, kind, "kind"));
   return cls;
 }
 
 void read_limits(const Element& limits, Settings& settings) {
   const auto drain = limits.child("drain");
   settings.drain_grace = drain.time("grace");
-  settings.only_draining_binds = drain.yes("only-draining-binds");
-  settings.bare_limit = limits.child("bare").time("longest");
+  settings.only_draining_is_binding = drain.yes("only-draining-binds");
+  settings.max_time_without_endpoints = limits.child("bare").time("longest");
   const auto channel = limits.child("channel");
-  settings.channel_lines_per_second = channel.number("lines-per-second");
-  settings.channel_most_waiting = channel.number("most-waiting");
-  settings.message_head_lines = channel.number("message-head");
-  settings.message_time = channel.time("transit");
-  if (settings.channel_lines_per_second <= 0) channel.fail("lines-per-second must be above 0");
-  if (settings.channel_most_waiting <= 0) channel.fail("most-waiting must be above 0");
+  settings.channel_entries_per_second = channel.number("lines-per-second");
+  settings.channel_max_queued_entries = channel.number("most-waiting");
+  settings.message_overhead_entries = channel.number("message-head");
+  settings.message_delay = channel.time("transit");
+  if (settings.channel_entries_per_second <= 0) channel.fail("lines-per-second must be above 0");
+  if (settings.channel_max_queued_entries <= 0) channel.fail("most-waiting must be above 0");
   const auto messages = limits.child("messages");
-  settings.messages_allowed = static_cast<std::size_t>(messages.number("allowed"));
-  settings.messages_window = messages.time("window");
+  settings.max_messages_per_window = static_cast<std::size_t>(messages.number("allowed"));
+  settings.message_window = messages.time("window");
   const auto cold = limits.child("cold");
-  settings.cold_share = cold.number("share");
-  settings.cold_time = cold.time("time");
-  settings.fall_multiple = cold.number("fall-multiple");
-  settings.fall_time = cold.time("fall-time");
-  if (settings.fall_multiple <= 1) cold.fail("fall-multiple must be above 1");
+  settings.initial_warm_up_capacity = cold.number("share");
+  settings.warm_up_duration = cold.time("time");
+  settings.overload_multiple = cold.number("fall-multiple");
+  settings.overload_duration = cold.time("fall-time");
+  if (settings.overload_multiple <= 1) cold.fail("fall-multiple must be above 1");
 }
 
 void read_proxies(const Element& element, Config& config) {
@@ -113,13 +113,13 @@
   config.proxies.silence = element.time("silence");
   auto& settings = config.settings;
   settings.proxies = config.proxies.known.size();
-  settings.connections_least = element.number("connections-least");
+  settings.min_replica_connections = element.number("connections-least");
   settings.picking =
-      chosen<Picking>(element, "picking",
-                      {{"weighted", Picking::weighted}, {"round", Picking::round}, {"two", Picking::two}});
-  settings.admission = chosen<Admission>(
+      chosen<PickingPolicy>(element, "picking",
+                      {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
+  settings.admission = chosen<AdmissionMode>(
       element, "admission",
-      {{"share", Admission::share}, {"rate", Admission::rate}, {"ignored", Admission::ignored}});
+      {{"share", AdmissionMode::share}, {"rate", AdmissionMode::rate}, {"ignored", AdmissionMode::ignored}});
 }
 
 void read_reports(const Element& element, Config& config) {
@@ -130,12 +130,12 @@
   reports.most_bytes = static_cast<std::size_t>(element.number("most-bytes"));
   reports.oldest = element.time("oldest");
   auto& settings = config.settings;
-  settings.report_every = element.time("every");
-  if (settings.report_every <= Nanos{}) element.fail("every must be above 0");
-  settings.reporting = chosen<Reporting>(
+  settings.report_interval = element.time("every");
+  if (settings.report_interval <= Nanos{}) element.fail("every must be above 0");
+  settings.reporting = chosen<ReportingMode>(
       element, "load",
-      {{"none", Reporting::none}, {"in-sums", Reporting::in_sums}, {"by-probe", Reporting::by_probe}});
-  settings.may_probe = settings.reporting == Reporting::by_probe;
+      {{"none", ReportingMode::none}, {"in-sums", ReportingMode::in_load_reports}, {"by-probe", ReportingMode::by_health_check}});
+  settings.health_checks_allowed = settings.reporting == ReportingMode::by_health_check;
   for (const auto& name : element.words("columns")) settings.load_columns.push_back(column(name));
 }
 
@@ -159,7 +159,7 @@
     element.fail("most-connections must be 1 to 1024");
   if (dns.answers_per_second <= 0) element.fail("answers-per-second must be above 0");
   // No answer with replicas could be given to anybody.
-  if (!lifetime::leaves_room(client_limits(config)))
+  if (!dns::leaves_room(client_limits(config)))
     element.fail("the drain grace leaves no room for a lifetime of 1 s, the flight and the roll's reading");
 }
 
@@ -178,7 +178,7 @@
 
 }  // namespace
 
-const char* name_of(LoadColumn column) {
+const char* name_of(LoadMetric column) {
   for (const auto& [known, text] : kColumns) {
     if (column == known) return text;
   }
@@ -238,13 +238,13 @@
 // handouts and the pushes keep that limit where messages are made, and a drain is never held up by it.
 Settings module_settings(const Config& config) {
   auto settings = config.settings;
-  settings.messages_allowed = 0;
+  settings.max_messages_per_window = 0;
   return settings;
 }
 
-lifetime::Limits client_limits(const Config& config) {
+dns::ClientTtlLimits client_limits(const Config& config) {
   return {config.settings.drain_grace, config.roll.every, config.dns.flight, config.proxies.silence,
-          std::chrono::duration_cast<lifetime::Lifetime>(config.dns.longest_lifetime)};
+          std::chrono::duration_cast<dns::Ttl>(config.dns.longest_lifetime)};
 }
 
 std::optional<ProxyId> find_proxy(const Config& config, std::string_view name) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "config/xml.h"
-#include "lifetime/clients.h"
+#include "dns/client_ttl_policy.h"
 #include "net/socket.h"
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::config {
 
@@ -37,7 +37,7 @@
   Nanos oldest{};              // that a span may have ended
 };
 
-struct RollFile {
+struct EndpointFileSource {
   std::string path;
   Nanos every{};  // looked at
 };
@@ -83,7 +83,7 @@
   std::vector<std::string> zones, kinds, classes;  // by id
   Proxies proxies;
   Reports reports;
-  RollFile roll;
+  EndpointFileSource roll;
   DnsFront dns;
   FilesFront files;
   Record record;
@@ -95,10 +95,10 @@
 Settings module_settings(const Config& config);
 
 // By which clients of DNS are held to the grace.
-lifetime::Limits client_limits(const Config& config);
+dns::ClientTtlLimits client_limits(const Config& config);
 
 // As written in configurations, reports and probes' answers.
-const char* name_of(LoadColumn column);
+const char* name_of(LoadMetric column);
 
 // Throws Faulty.
 Config parse_config(std::string_view text, const std::string& label);
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -60,25 +60,25 @@
 
 Document::Document(std::string_view text, const std::string& label, std::string_view schema)
     : parsed_(std::make_unique<Parsed>()) {
-  if (text.size() > kMostBytes) throw Faulty(label + ": longer than 16 MiB");
+  if (text.size() > kMostBytes) throw ConfigError(label + ": longer than 16 MiB");
   Faults faults{label, {}};
   const Listening listening(faults);
   // No network, no entities from outside; the parser's own limits against blown-up entities stay on.
   parsed_->document.reset(xmlReadMemory(text.data(), static_cast<int>(text.size()), label.c_str(), nullptr,
                                         XML_PARSE_NONET | XML_PARSE_BIG_LINES));
-  if (!parsed_->document) throw Faulty(faults.text.empty() ? label + ": no XML" : faults.text);
+  if (!parsed_->document) throw ConfigError(faults.text.empty() ? label + ": no XML" : faults.text);
   parsed_->document->_private = &parsed_->label;
   parsed_->label = label;
   const std::unique_ptr<xmlSchemaParserCtxt, Freed<xmlSchemaFreeParserCtxt>> reader(
       xmlSchemaNewMemParserCtxt(schema.data(), static_cast<int>(schema.size())));
   const std::unique_ptr<xmlSchema, Freed<xmlSchemaFree>> rules(xmlSchemaParse(reader.get()));
-  if (!rules) throw Faulty("the schema itself: " + faults.text);
+  if (!rules) throw ConfigError("the schema itself: " + faults.text);
   const std::unique_ptr<xmlSchemaValidCtxt, Freed<xmlSchemaFreeValidCtxt>> check(
       xmlSchemaNewValidCtxt(rules.get()));
   xmlSchemaSetValidStructuredErrors(check.get(), note, &faults);
   xmlSchemaSetValidOptions(check.get(), XML_SCHEMA_VAL_VC_I_CREATE);  // fills in the defaults
   if (xmlSchemaValidateDoc(check.get(), parsed_->document.get()) != 0 || faults.count > 0)
-    throw Faulty(faults.text.empty() ? label + ": does not fit the schema" : faults.text);
+    throw ConfigError(faults.text.empty() ? label + ": does not fit the schema" : faults.text);
 }
 
 Document::~Document() = default;
@@ -166,13 +166,13 @@
 
 void Element::fail(const std::string& what) const {
   const auto* label = static_cast<const std::string*>(node_of(node_)->doc->_private);
-  throw Faulty(*label + ":" + std::to_string(line()) + ": element '" + name() + "': " + what);
+  throw ConfigError(*label + ":" + std::to_string(line()) + ": element '" + name() + "': " + what);
 }
 
 std::string read_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw Faulty(path + ": cannot be read, or is empty");
+  if (!file || !(text << file.rdbuf())) throw ConfigError(path + ": cannot be read, or is empty");
   return text.str();
 }
 
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -9,12 +9,12 @@
 #include <string_view>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::config {
 
 // The message names file, line, element and what would be right; one line for each fault.
-class Faulty : public std::runtime_error {
+class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
--- a/src/governor/live_governor.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -1,10 +1,10 @@
-#include "governor/live_governor.h"
+#include "control_plane/control_plane.h"
 
 #include <algorithm>
 
-#include "governor/log_lines.h"
+#include "control_plane/log_lines.h"
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
@@ -14,21 +14,21 @@
 
 }  // namespace
 
-LiveGovernor::LiveGovernor(const config::Config& config, World& world, Desk::Clock clock, book::Claims claims,
+ControlPlane::ControlPlane(const config::Config& config, ControlPlaneHost& world, ControllerDriver::Clock clock, routing_state::LeaseTable claims,
                            record::Writer* record)
     : config_(config),
       world_(world),
       clients_(config::client_limits(config)),
-      handouts_({config.settings.message_head_lines, config.settings.messages_allowed,
-                 config.settings.messages_window}),
+      handouts_({config.settings.message_overhead_entries, config.settings.max_messages_per_window,
+                 config.settings.message_window}),
       // A withdrawal must be confirmed while there is time left to say that it was not: the next look, and a
       // push that just fails.
-      pushes_({config.settings.message_head_lines, config.settings.channel_lines_per_second,
-               config.settings.messages_allowed, config.settings.messages_window,
+      pushes_({config.settings.message_overhead_entries, config.settings.channel_entries_per_second,
+               config.settings.max_messages_per_window, config.settings.message_window,
                config.settings.drain_grace - 2 * kSweep - config.roll.every, config.files.renew}),
       claims_(std::move(claims)),
       desk_({config::module_settings(config), config.seed, {}, record, config.text}, std::move(clock),
-            static_cast<Door&>(*this)) {
+            static_cast<ControllerFrontend&>(*this)) {
   for (std::size_t p = 0; p < config.proxies.known.size(); ++p) {
     const ProxyId id{static_cast<std::uint16_t>(p)};
     config.proxies.known[p].is_pushed_to() ? pushes_.introduce(desk_.now(), id)
@@ -37,10 +37,10 @@
   desk_.open([this] { sweep(); }, kSweep);
 }
 
-LiveGovernor::~LiveGovernor() { stop(); }
+ControlPlane::~ControlPlane() { stop(); }
 
-void LiveGovernor::ordered(Nanos now, const std::optional<book::OrderBook::Published>& published,
-                           const std::vector<std::pair<MarkId, bool>>& marks) {
+void ControlPlane::ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+                           const std::vector<std::pair<AckRequestId, bool>>& marks) {
   const bool out_changed = std::exchange(out_changed_, false);
   if (out_changed) publish_out(now);
   if (published) {
@@ -63,17 +63,17 @@
   for (const auto& [mark, reach_all] : marks) {
     const auto by = standing->marked(reach_all);
     const std::lock_guard held(handouts_lock_);
-    handouts_.mark(now, mark, standing->number, by);
+    handouts_.request_acknowledgement(now, mark, standing->number, by);
   }
 }
 
 // Whom nobody may send to now: withdrawn, draining or gone. Goes with every push, for what is kept there.
-void LiveGovernor::publish_out(Nanos now) {
+void ControlPlane::publish_out(Nanos now) {
   std::set<ReplicaId> out{kNobody};
   std::vector<std::string> names;
   for (std::size_t n = 0; n < phases_.size(); ++n) {
     const ReplicaId id{static_cast<std::uint32_t>(n)};
-    if (phases_[n] == Phase::ready && !withdrawn_.contains(id)) continue;
+    if (phases_[n] == EndpointPhase::ready && !withdrawn_.contains(id)) continue;
     out.insert(id);
     names.push_back(directory_->place(id).name);
   }
@@ -86,7 +86,7 @@
 }
 
 // For clients that fell silent, and pushes that nobody answers.
-void LiveGovernor::sweep() {
+void ControlPlane::sweep() {
   const auto now = desk_.now();
   std::vector<ProxyId> silent;
   {
@@ -103,16 +103,16 @@
 
 // --- The list
 
-void LiveGovernor::note_places(const list::Roll::Taken& taken) {
-  auto next = std::make_shared<front::Directory>(*directory_);
+void ControlPlane::note_places(const discovery::EndpointList::Taken& taken) {
+  auto next = std::make_shared<delivery::EndpointDirectory>(*directory_);
   for (const auto& change : taken.changes) {
     const auto id = replicas_.id_of(change.name);
     const auto at = static_cast<std::size_t>(id);
-    if (next->replicas.size() <= at) next->replicas.resize(at + 1), phases_.resize(at + 1, Phase::gone);
+    if (next->replicas.size() <= at) next->replicas.resize(at + 1), phases_.resize(at + 1, EndpointPhase::gone);
     next->by_name[change.name] = id;
     auto& place = next->replicas[at];
     place.name = change.name;
-    place.gone = change.phase == Phase::gone;
+    place.gone = change.phase == EndpointPhase::gone;
     if (change.backend) place.address = change.backend->address, place.zone = change.backend->zone;
     phases_[at] = change.phase;
   }
@@ -121,63 +121,63 @@
   directory_ = std::move(next);
 }
 
-void LiveGovernor::list_taken(const list::Roll::Taken& taken) {
+void ControlPlane::on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) {
   const auto position = [](const std::vector<std::string>& names, const std::string& name) {
     return static_cast<std::uint16_t>(std::find(names.begin(), names.end(), name) - names.begin());
   };
-  desk_.call([&](record::Tap& governor, book::OrderBook&, Nanos now) {
+  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
     const auto before = replicas_.size();
     note_places(taken);
-    std::vector<ListEntry> entries;
+    std::vector<EndpointUpdate> entries;
     for (const auto& change : taken.changes) {
       const auto id = replicas_.id_of(change.name);
       if (static_cast<std::size_t>(id) >= before) governor.named(now, id, change.name);
-      ListEntry entry;
+      EndpointUpdate entry;
       entry.replica = replicas_.id_of(change.name);
       entry.phase = change.phase;
       if (change.backend) {
         entry.zone = ZoneId{position(config_.zones, change.backend->zone)};
-        entry.kind = KindId{position(config_.kinds, change.backend->kind)};
+        entry.kind = HardwareKindId{position(config_.kinds, change.backend->kind)};
         entry.cell = cells_.id_of(change.backend->cell);
         entry.weight = change.backend->weight;
         entry.started = change.started;
       }
       entries.push_back(entry);
     }
-    governor.list_received(now, taken.first ? ListKind::cached : ListKind::changes, entries);
+    governor.on_endpoint_list(now, taken.first ? EndpointListKind::cached : EndpointListKind::changes, entries);
   });
 }
 
-void LiveGovernor::list_failed() {
-  desk_.call([](record::Tap& governor, book::OrderBook&, Nanos now) { governor.list_failed(now); });
+void ControlPlane::list_failed() {
+  desk_.call([](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_endpoint_list_failed(now); });
 }
 
 // --- Reports
 
-void LiveGovernor::replica_summed(const ReplicaSum& sum, const record::Origin& origin) {
+void ControlPlane::on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) {
   desk_.call(
-      [&](record::Tap& governor, book::OrderBook&, Nanos now) { governor.replica_summed(now, sum, origin); });
+      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_replica_load_report(now, sum, origin); });
 }
 
-void LiveGovernor::demand_summed(const Demand& demand, const record::Origin& origin) {
-  desk_.call([&](record::Tap& governor, book::OrderBook&, Nanos now) {
-    governor.demand_summed(now, demand, origin);
+void ControlPlane::on_demand_report(const DemandReport& demand, const record::Origin& origin) {
+  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+    governor.on_demand_report(now, demand, origin);
   });
 }
 
-void LiveGovernor::reported(ProxyId proxy) {
+void ControlPlane::reported(ProxyId proxy) {
   const std::lock_guard held(clients_lock_);
   clients_.reported(desk_.now(), proxy);
 }
 
-void LiveGovernor::probe_answered(const ProbeAnswer& answer) {
+void ControlPlane::on_health_check_result(const HealthCheckResult& answer) {
   desk_.call(
-      [&](record::Tap& governor, book::OrderBook&, Nanos now) { governor.probe_answered(now, answer); });
+      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_health_check_result(now, answer); });
 }
 
 // --- Fronts
 
-bool LiveGovernor::is_held(ProxyId proxy) const {
+bool ControlPlane::is_held(ProxyId proxy) const {
   if (entry_of(proxy).is_pushed_to()) {
     const std::lock_guard held(handouts_lock_);
     return pushes_.held(proxy);
@@ -186,16 +186,16 @@
   return clients_.held(proxy);
 }
 
-void LiveGovernor::settle(ProxyId proxy) {
+void ControlPlane::settle(ProxyId proxy) {
   const auto& known = entry_of(proxy);
-  desk_.call([&](record::Tap& governor, book::OrderBook& book, Nanos now) {
+  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos now) {
     const bool held = is_held(proxy);
     if (held == joined_.contains(proxy)) {
       // It was given up on and answered again before anybody here noticed: what stands is still to be sent.
       const auto holding = held && known.is_pushed_to() ? version_->holding_of(proxy) : nullptr;
       if (!holding) return;
       const std::lock_guard handouts(handouts_lock_);
-      pushes_.ordered(now, proxy, holding, book::size_of(*holding));
+      pushes_.ordered(now, proxy, holding, routing_state::size_of(*holding));
       return;
     }
     world_.log((held ? "join " : "leave ") + known.name, version_->number);
@@ -206,10 +206,10 @@
         const std::lock_guard handouts(handouts_lock_);
         handouts_.joined(now, proxy);
       }
-      governor.proxy_joined(now, proxy, known.zone, known.usual_rate, true);
+      governor.on_proxy_joined(now, proxy, known.zone, known.usual_rate, true);
     } else {
       joined_.erase(proxy);
-      governor.proxy_left(now, proxy);
+      governor.on_proxy_left(now, proxy);
       book.left(proxy);
       const std::lock_guard handouts(handouts_lock_);
       handouts_.left(proxy);
@@ -217,8 +217,8 @@
   });
 }
 
-front::Told LiveGovernor::asked(ProxyId proxy, ClassId cls) {
-  front::Told told;
+delivery::PullAnswer ControlPlane::asked(ProxyId proxy, ClassId cls) {
+  delivery::PullAnswer told;
   const auto now = desk_.now();
   {
     const std::lock_guard held(clients_lock_);
@@ -226,54 +226,54 @@
   }
   if (told.verdict.joins || told.verdict.leaves) settle(proxy);
   told.directory = directory();
-  if (told.verdict.service != lifetime::Service::replicas) {
+  if (told.verdict.service != dns::ClientService::replicas) {
     told.entries = entries_for(std::nullopt, proxy);
     return told;
   }
-  std::vector<book::Handouts::Reached> reached;
+  std::vector<routing_state::PullDelivery::Reached> reached;
   {
     const std::lock_guard held(handouts_lock_);
     told.holding = handouts_.take(now, proxy);
     reached = handouts_.reached(now, proxy);
   }
   for (const auto& mark : reached) {
-    desk_.call([&](record::Tap& governor, book::OrderBook&, Nanos at) {
-      governor.orders_applied(at, mark.proxy, mark.mark, mark.took);
+    desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+      governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
     });
   }
   return told;
 }
 
-front::Told LiveGovernor::asked_zone(ZoneId zone) {
-  front::Told told;
-  told.verdict.service = lifetime::Service::proxies;
+delivery::PullAnswer ControlPlane::asked_zone(ZoneId zone) {
+  delivery::PullAnswer told;
+  told.verdict.service = dns::ClientService::proxies;
   told.directory = directory();
   told.entries = entries_for(zone, std::nullopt);
   return told;
 }
 
-std::vector<front::Entry> LiveGovernor::entries_for(std::optional<ZoneId> zone,
+std::vector<delivery::FallbackProxy> ControlPlane::entries_for(std::optional<ZoneId> zone,
                                                     std::optional<ProxyId> but) const {
-  std::vector<front::Entry> entries;
+  std::vector<delivery::FallbackProxy> entries;
   for (std::size_t p = 0; p < config_.proxies.known.size(); ++p) {
     const auto& known = config_.proxies.known[p];
     const ProxyId id{static_cast<std::uint16_t>(p)};
     if (!known.entry || id == but || !is_held(id)) continue;
     entries.push_back({id, known.zone, *known.entry});
   }
-  const auto own = [&](const front::Entry& entry) { return entry.zone == zone; };
+  const auto own = [&](const delivery::FallbackProxy& entry) { return entry.zone == zone; };
   std::stable_partition(entries.begin(), entries.end(), own);
   return entries;
 }
 
-std::optional<front::Push> LiveGovernor::next_push() {
-  std::optional<book::Offer> offer;
+std::optional<delivery::PushMessage> ControlPlane::next_push() {
+  std::optional<routing_state::PendingPush> offer;
   {
     const std::lock_guard held(handouts_lock_);
     offer = pushes_.next(desk_.now());
   }
   if (!offer) return std::nullopt;
-  front::Push push{offer->proxy, offer->holding, directory(), {}, offer->recall, 0, claims_.owner()};
+  delivery::PushMessage push{offer->proxy, offer->holding, directory(), {}, offer->recall, 0, claims_.owner()};
   {
     const std::lock_guard held(handouts_lock_);
     push.epoch = claims_.epoch(offer->proxy);
@@ -283,34 +283,34 @@
   return push;
 }
 
-std::optional<Nanos> LiveGovernor::push_due_in() {
+std::optional<Nanos> ControlPlane::push_due_in() {
   const std::lock_guard held(handouts_lock_);
   const auto now = desk_.now();
   const auto at = pushes_.wake(now);
   return at ? std::optional(std::max<Nanos>(*at - now, Nanos{})) : std::nullopt;
 }
 
-void LiveGovernor::push_taken(ProxyId proxy, book::VersionNumber since) {
+void ControlPlane::push_taken(ProxyId proxy, routing_state::SnapshotVersion since) {
   const std::lock_guard held(handouts_lock_);
   pushes_.taken(desk_.now(), proxy, since);
   push_faults_.erase(proxy);
 }
 
-void LiveGovernor::push_failed(ProxyId proxy, const std::string& why) {
+void ControlPlane::push_failed(ProxyId proxy, const std::string& why) {
   const std::lock_guard held(handouts_lock_);
   pushes_.failed(desk_.now(), proxy);
   note_fault(proxy, why);
 }
 
 // Each fault once, not each try. With the handouts' lock held.
-void LiveGovernor::note_fault(ProxyId proxy, const std::string& why) {
+void ControlPlane::note_fault(ProxyId proxy, const std::string& why) {
   if (push_faults_[proxy] == why) return;
   push_faults_[proxy] = why;
   world_.log("push to " + entry_of(proxy).name + " failed: " + why, version());
 }
 
 // Whoever the list never named, or names no more, is out. With the handouts' lock held.
-void LiveGovernor::note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& instead) {
+void ControlPlane::note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& instead) {
   const auto known = directory();
   std::set<ReplicaId> replicas;
   for (const auto& name : instead) {
@@ -320,7 +320,7 @@
   pushes_.went_back(now, proxy, std::move(replicas));
 }
 
-void LiveGovernor::push_went_back(ProxyId proxy, const std::vector<std::string>& instead) {
+void ControlPlane::push_went_back(ProxyId proxy, const std::vector<std::string>& instead) {
   {
     const std::lock_guard held(handouts_lock_);
     note_way_back(desk_.now(), proxy, instead);
@@ -328,20 +328,20 @@
   if (auto* pusher = pusher_.load()) pusher->something_ordered();
 }
 
-std::vector<std::string> LiveGovernor::out() const {
+std::vector<std::string> ControlPlane::out() const {
   const std::lock_guard held(shared_lock_);
   return out_;
 }
 
 // False if it goes on as ours; else it joins or leaves by what was met. With the handouts' lock held.
-bool LiveGovernor::changes_hands(Nanos now, ProxyId proxy, const book::Met& met) {
+bool ControlPlane::changes_hands(Nanos now, ProxyId proxy, const routing_state::RemoteState& met) {
   switch (claims_.met(proxy, met)) {
-    case book::Claims::Standing::ours:
+    case routing_state::LeaseTable::ControlPlaneStatus::ours:
       break;
-    case book::Claims::Standing::claimed:
+    case routing_state::LeaseTable::ControlPlaneStatus::claimed:
       pushes_.joined(now, proxy, !met.any);
       return true;
-    case book::Claims::Standing::theirs:
+    case routing_state::LeaseTable::ControlPlaneStatus::theirs:
       pushes_.refused(now, proxy);
       note_fault(proxy, "it follows " + met.owner);
       return true;
@@ -349,7 +349,7 @@
   return false;
 }
 
-void LiveGovernor::push_refused(ProxyId proxy, const book::Met& met) {
+void ControlPlane::push_refused(ProxyId proxy, const routing_state::RemoteState& met) {
   {
     const std::lock_guard held(handouts_lock_);
     const auto now = desk_.now();
@@ -362,7 +362,7 @@
   settle(proxy);
 }
 
-void LiveGovernor::push_met(ProxyId proxy, const book::Met& met) {
+void ControlPlane::push_met(ProxyId proxy, const routing_state::RemoteState& met) {
   {
     const std::lock_guard held(handouts_lock_);
     const auto now = desk_.now();
@@ -375,25 +375,25 @@
   settle(proxy);
 }
 
-std::shared_ptr<const front::Directory> LiveGovernor::directory() const {
+std::shared_ptr<const delivery::EndpointDirectory> ControlPlane::directory() const {
   const std::lock_guard held(shared_lock_);
   return directory_;
 }
 
-book::VersionNumber LiveGovernor::version() const {
+routing_state::SnapshotVersion ControlPlane::version() const {
   const std::lock_guard held(shared_lock_);
   return version_->number;
 }
 
-std::optional<ReplicaId> LiveGovernor::find_replica(std::string_view name) const {
+std::optional<ReplicaId> ControlPlane::find_replica(std::string_view name) const {
   const auto places = directory();
   const auto known = places->by_name.find(name);
   if (known == places->by_name.end()) return std::nullopt;
   return known->second;
 }
 
-Standing LiveGovernor::standing() const {
-  Standing standing;
+ControlPlaneStatus ControlPlane::standing() const {
+  ControlPlaneStatus standing;
   desk_.look([&] {
     standing.version = version_;
     standing.directory = directory_;
@@ -409,17 +409,17 @@
 
 // --- What else the module asks for
 
-void LiveGovernor::withdrawn(ReplicaId replica, bool out) {
+void ControlPlane::withdrawn(ReplicaId replica, bool out) {
   out ? void(withdrawn_.insert(replica)) : void(withdrawn_.erase(replica));
   out_changed_ = true;
 }
 // The roll is watched all the time; its news comes by itself.
-void LiveGovernor::watch_list(bool) {}
-void LiveGovernor::look_up_list() { world_.look_up_list(); }
-void LiveGovernor::probe(ReplicaId replica) { world_.probe(replica, directory_->place(replica).address); }
+void ControlPlane::watch_endpoint_list(bool) {}
+void ControlPlane::refresh_endpoint_list() { world_.refresh_endpoint_list(); }
+void ControlPlane::request_health_check(ReplicaId replica) { world_.request_health_check(replica, directory_->place(replica).address); }
 // There are no peers yet.
-void LiveGovernor::tell(std::optional<PeerId>, std::string_view) {}
-void LiveGovernor::log(std::string_view line) {
+void ControlPlane::send_to_peer(std::optional<PeerId>, std::string_view) {}
+void ControlPlane::log(std::string_view line) {
   const auto name_of = [this](ReplicaId id) {
     return static_cast<std::size_t>(id) < replicas_.size() ? std::string_view(replicas_.name(id)) : "";
   };
--- a/src/governor/service.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -1,13 +1,13 @@
-#include "governor/service.h"
+#include "control_plane/control_plane_server.h"
 
 #include <spdlog/spdlog.h>
 
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "governor/status.h"
+#include "control_plane/status.h"
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
@@ -22,20 +22,20 @@
 
 }  // namespace
 
-Service::Service(const config::Config& config, std::shared_ptr<spdlog::logger> log)
+ControlPlaneServer::ControlPlaneServer(const config::Config& config, std::shared_ptr<spdlog::logger> log)
     : config_(config), log_(std::move(log)), complaints_(log_, kComplainEvery) {
   // No other process has this name and moment; where the clock went back, claims go above what they meet.
-  const book::Claims claims(static_cast<std::uint64_t>(wall_now() / 1s),
+  const routing_state::LeaseTable claims(static_cast<std::uint64_t>(wall_now() / 1s),
                             config_.name + "." + std::to_string(wall_now().count()));
   if (config_.record.keep) {
     record_ =
-        std::make_unique<record::Writer>(record::Keeping{config_.record.folder, config_.record.most_bytes,
+        std::make_unique<record::Writer>(record::RetentionPolicy{config_.record.folder, config_.record.most_bytes,
                                                          config_.record.file_bytes, config_.record.file_age});
   }
-  live_ = std::make_unique<LiveGovernor>(config_, static_cast<World&>(*this), now, claims, record_.get());
-  intake_ = std::make_unique<intake::Intake>(config_, static_cast<intake::Receiver&>(*this));
+  live_ = std::make_unique<ControlPlane>(config_, static_cast<ControlPlaneHost&>(*this), now, claims, record_.get());
+  intake_ = std::make_unique<load_reports::LoadReportProcessor>(config_, static_cast<load_reports::LoadReportListener&>(*this));
   responder_ = std::make_unique<dns::Responder>(config_, *live_);
-  probers_ = std::make_unique<net::Crew>("prober", kProbers, kProbesWaiting);
+  probers_ = std::make_unique<net::ThreadPool>("prober", kProbers, kProbesWaiting);
   const auto complain = [this](const std::string& what) { this->complain(what); };
   dns_ = std::make_unique<dns::Server>(config_.dns, *responder_, config_.seed, complain);
   http::Limits limits;
@@ -45,11 +45,11 @@
       [this](const http::Request& request) { return answer(request); }, complain);
   pusher_ = std::make_unique<files::Pusher>(config_, *live_);
   live_->tell_orders_to(pusher_.get());
-  roll_ = std::make_unique<sources::RollFile>(config_, static_cast<sources::ListSink&>(*this), now);
+  roll_ = std::make_unique<discovery::EndpointFileSource>(config_, static_cast<discovery::EndpointSourceListener&>(*this), now);
 }
 
 // Whoever calls in ends before what it calls.
-void Service::stop() {
+void ControlPlaneServer::stop() {
   if (stopped_.exchange(true)) return;
   roll_->stop();
   http_->stop();
@@ -61,12 +61,12 @@
   if (record_) record_->stop();
 }
 
-void Service::probe(ReplicaId replica, const net::Address& at) {
+void ControlPlaneServer::request_health_check(ReplicaId replica, const net::Address& at) {
   if (probers_) probers_->take([this, replica, at] { ask_load(replica, at); });
 }
 
-void Service::ask_load(ReplicaId replica, const net::Address& at) {
-  ProbeAnswer answer;
+void ControlPlaneServer::ask_load(ReplicaId replica, const net::Address& at) {
+  HealthCheckResult answer;
   answer.replica = replica;
   const auto begun = net::Steady::now();
   try {
@@ -80,43 +80,43 @@
     // No answer is an answer, and told as one.
   }
   answer.took = net::Steady::now() - begun;
-  if (!stopped_) live_->probe_answered(answer);
+  if (!stopped_) live_->on_health_check_result(answer);
 }
 
-void Service::look_up_list() {
+void ControlPlaneServer::refresh_endpoint_list() {
   if (roll_) roll_->look();
 }
 
-void Service::log(std::string_view line, book::VersionNumber version) {
+void ControlPlaneServer::log(std::string_view line, routing_state::SnapshotVersion version) {
   log_->info("{} version={}", line, static_cast<std::uint64_t>(version));
 }
 
-void Service::list_taken(const list::Roll::Taken& taken) {
+void ControlPlaneServer::on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) {
   for (const auto& change : taken.changes) {
-    const char* phase = change.phase == Phase::ready      ? "ready"
-                        : change.phase == Phase::draining ? "draining"
+    const char* phase = change.phase == EndpointPhase::ready      ? "ready"
+                        : change.phase == EndpointPhase::draining ? "draining"
                                                           : "gone";
     log_->info("list replica={} phase={}", change.name, phase);
   }
-  live_->list_taken(taken);
+  live_->on_endpoint_list_changed(taken);
 }
 
 // No news is not a list without anybody: what was last known stands, and the module is not told of a failure
 // that it could do nothing about.
-void Service::list_unreadable(const std::string& why) { log_->warn("no news of the list: {}", why); }
+void ControlPlaneServer::on_endpoint_list_unreadable(const std::string& why) { log_->warn("no news of the list: {}", why); }
 
-std::optional<ReplicaId> Service::find_replica(std::string_view name) const {
+std::optional<ReplicaId> ControlPlaneServer::find_replica(std::string_view name) const {
   return live_->find_replica(name);
 }
 
-http::Response Service::take_metrics(const http::Request& request) {
+http::Response ControlPlaneServer::take_metrics(const http::Request& request) {
   if (!request.content_type.starts_with("application/json"))
     return {415, "text/plain", "only application/json is taken\n", std::nullopt, true};
   if (!request.content_encoding.empty() && request.content_encoding != "identity")
     return {415, "text/plain", "no content encoding is taken\n", std::nullopt, true};
-  std::vector<otlp::Report> reports;
+  std::vector<load_reports::MetricsReport> reports;
   try {
-    reports = otlp::parse_metrics(request.body);
+    reports = load_reports::parse_metrics(request.body);
   } catch (const std::exception& error) {
     return {400, "application/json", json({{"code", 3}, {"message", error.what()}}).dump(), std::nullopt,
             true};
@@ -135,7 +135,7 @@
   return {200, "application/json", body.dump(), std::nullopt, true};
 }
 
-http::Response Service::answer_generations(const std::string& name) {
+http::Response ControlPlaneServer::answer_generations(const std::string& name) {
   const auto proxy = config::find_proxy(config_, name);
   if (!proxy) return {404, "text/plain", "there is no proxy '" + name + "'\n", std::nullopt, true};
   try {
@@ -145,7 +145,7 @@
   }
 }
 
-http::Response Service::answer_rollback(const std::string& rest) {
+http::Response ControlPlaneServer::answer_rollback(const std::string& rest) {
   constexpr std::string_view asks = "?version=";
   const auto at = rest.find(asks);
   const auto proxy = config::find_proxy(config_, rest.substr(0, at));
@@ -164,7 +164,7 @@
   }
 }
 
-http::Response Service::answer(const http::Request& request) {
+http::Response ControlPlaneServer::answer(const http::Request& request) {
   constexpr std::string_view generations = "/generations/", rollback = "/rollback/";
   if (request.method == "POST" && request.target.starts_with(rollback))
     return answer_rollback(request.target.substr(rollback.size()));
--- a/src/governor/service.h
+++ b/src/control_plane/control_plane_server.h
@@ -7,41 +7,41 @@
 #include "config/config.h"
 #include "dns/server.h"
 #include "files/pusher.h"
-#include "governor/live_governor.h"
-#include "governor/log_lines.h"
+#include "control_plane/control_plane.h"
+#include "control_plane/log_lines.h"
 #include "http/http.h"
-#include "intake/intake.h"
+#include "load_reports/load_report_processor.h"
 #include "record/writer.h"
-#include "sources/roll_file.h"
+#include "discovery/endpoint_file_source.h"
 
 namespace spdlog {
 class logger;
 }
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 
-class Service : private World, private sources::ListSink, private intake::Receiver {
+class ControlPlaneServer : private ControlPlaneHost, private discovery::EndpointSourceListener, private load_reports::LoadReportListener {
  public:
   // Throws net::Error if an address cannot be had. Serves from then on.
-  Service(const config::Config& config, std::shared_ptr<spdlog::logger> log);
-  ~Service() override { stop(); }
+  ControlPlaneServer(const config::Config& config, std::shared_ptr<spdlog::logger> log);
+  ~ControlPlaneServer() override { stop(); }
   net::Address dns_address() const { return dns_->address(); }
   net::Address http_address() const { return http_->address(); }
   // Within a second.
   void stop();
 
  private:
-  void probe(ReplicaId replica, const net::Address& at) override;
-  void look_up_list() override;
-  void log(std::string_view line, book::VersionNumber version) override;
-  void list_taken(const list::Roll::Taken& taken) override;
-  void list_unreadable(const std::string& why) override;
+  void request_health_check(ReplicaId replica, const net::Address& at) override;
+  void refresh_endpoint_list() override;
+  void log(std::string_view line, routing_state::SnapshotVersion version) override;
+  void on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) override;
+  void on_endpoint_list_unreadable(const std::string& why) override;
   std::optional<ReplicaId> find_replica(std::string_view name) const override;
-  void replica_summed(const ReplicaSum& sum, const record::Origin& origin) override {
-    live_->replica_summed(sum, origin);
+  void on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) override {
+    live_->on_replica_load_report(sum, origin);
   }
-  void demand_summed(const Demand& demand, const record::Origin& origin) override {
-    live_->demand_summed(demand, origin);
+  void on_demand_report(const DemandReport& demand, const record::Origin& origin) override {
+    live_->on_demand_report(demand, origin);
   }
   void reported(ProxyId proxy) override { live_->reported(proxy); }
 
@@ -55,16 +55,16 @@
 
   const config::Config config_;
   const std::shared_ptr<spdlog::logger> log_;
-  Complaints complaints_;
+  RateLimitedLogger complaints_;
   std::unique_ptr<record::Writer> record_;
-  std::unique_ptr<LiveGovernor> live_;
-  std::unique_ptr<intake::Intake> intake_;
+  std::unique_ptr<ControlPlane> live_;
+  std::unique_ptr<load_reports::LoadReportProcessor> intake_;
   std::unique_ptr<dns::Responder> responder_;
-  std::unique_ptr<net::Crew> probers_;
+  std::unique_ptr<net::ThreadPool> probers_;
   std::unique_ptr<dns::Server> dns_;
   std::unique_ptr<http::Server> http_;
   std::unique_ptr<files::Pusher> pusher_;
-  std::unique_ptr<sources::RollFile> roll_;
+  std::unique_ptr<discovery::EndpointFileSource> roll_;
   std::atomic<bool> stopped_ = false;
 };
 
--- a/src/governor/desk.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -1,26 +1,26 @@
-#include "governor/desk.h"
+#include "control_plane/controller_driver.h"
 
 #include <algorithm>
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
 
 }  // namespace
 
-Desk::Desk(const Start& start, Clock clock, Door& door)
+ControllerDriver::ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door)
     : clock_(std::move(clock)), door_(door), gather_(start.gather), book_(start.settings.classes.size()) {
   const std::lock_guard held(lock_);
-  governor_ = std::make_unique<record::Tap>(start.settings, start.seed, clock_(), static_cast<Host&>(*this),
+  governor_ = std::make_unique<record::RecordingController>(start.settings, start.seed, clock_(), static_cast<ActionSink&>(*this),
                                             start.record, start.configuration);
 }
 
-void Desk::open(std::function<void()> look, Nanos every) {
+void ControllerDriver::open(std::function<void()> look, Nanos every) {
   timekeeper_ = net::Thread("timekeeper", [this, look = std::move(look), every] { keep_time(look, every); });
 }
 
-void Desk::stop() {
+void ControllerDriver::stop() {
   {
     const std::lock_guard held(lock_);
     stopping_ = true;
@@ -30,14 +30,14 @@
 }
 
 // With the lock held, after a call.
-void Desk::touched(Nanos now) {
+void ControllerDriver::touched(Nanos now) {
   if (gather_ <= Nanos{}) return publish(now);
   if (publish_at_ || !(book_.changed() || withdrawn_ || !marks_.empty())) return;
   publish_at_ = now + gather_;
   time_changed_.notify_all();
 }
 
-void Desk::publish(Nanos now) {
+void ControllerDriver::publish(Nanos now) {
   publish_at_.reset();
   withdrawn_ = false;
   const auto published = book_.publish(now);
@@ -45,13 +45,13 @@
   marks_.clear();
 }
 
-void Desk::keep_time(const std::function<void()>& look, Nanos every) {
+void ControllerDriver::keep_time(const std::function<void()>& look, Nanos every) {
   std::unique_lock held(lock_);
   Nanos next_look = clock_() + every;
   while (!stopping_) {
     const auto now = clock_();
     if (const auto timer = timers_.take(now)) {
-      governor_->timer_due(now, *timer);
+      governor_->on_timer(now, *timer);
       touched(now);
       continue;
     }
@@ -72,22 +72,22 @@
   }
 }
 
-void Desk::set_line(TableId table, ReplicaId replica, double weight) {
-  book_.set_line(table, replica, weight);
+void ControllerDriver::set_table_entry(TableId table, ReplicaId replica, double weight) {
+  book_.set_table_entry(table, replica, weight);
 }
-void Desk::clear_table(TableId table) { book_.clear_table(table); }
-void Desk::bind(ProxyId proxy, TableId table, ClassMask classes) { book_.bind(proxy, table, classes); }
-void Desk::withdraw(ReplicaId replica, bool out) {
-  book_.withdraw(replica, out);
+void ControllerDriver::clear_table(TableId table) { book_.clear_table(table); }
+void ControllerDriver::bind(ProxyId proxy, TableId table, ClassMask classes) { book_.bind(proxy, table, classes); }
+void ControllerDriver::set_ejected(ReplicaId replica, bool out) {
+  book_.set_ejected(replica, out);
   withdrawn_ = true;
   door_.withdrawn(replica, out);
 }
-void Desk::set_level(TableId table, ClassMask classes, double level, Retry retry) {
-  book_.set_level(table, classes, level, retry);
+void ControllerDriver::set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) {
+  book_.set_admitted_fraction(table, classes, level, retry);
 }
-void Desk::mark(MarkId mark, bool reach_all) { marks_.emplace_back(mark, reach_all); }
-void Desk::arm(Nanos from_now, TimerId timer) {
-  timers_.arm(clock_() + from_now, timer);
+void ControllerDriver::request_acknowledgement(AckRequestId mark, bool reach_all) { marks_.emplace_back(mark, reach_all); }
+void ControllerDriver::start_timer(Nanos from_now, TimerId timer) {
+  timers_.start_timer(clock_() + from_now, timer);
   time_changed_.notify_all();
 }
 
--- a/src/governor/desk.h
+++ b/src/control_plane/controller_driver.h
@@ -11,30 +11,30 @@
 #include <utility>
 #include <vector>
 
-#include "book/order_book.h"
-#include "governor/timers.h"
+#include "routing_state/routing_state.h"
+#include "control_plane/timer_queue.h"
 #include "net/threads.h"
-#include "record/tap.h"
-#include "rules.h"
+#include "record/recording_controller.h"
+#include "policy/controller.h"
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 
 // What a door does with orders. Called under the desk's lock: take note and return.
-class Door {
+class ControllerFrontend {
  public:
-  virtual ~Door() = default;
+  virtual ~ControllerFrontend() = default;
   // After calls that ordered something; no version if nothing changed that anybody may use.
-  virtual void ordered(Nanos now, const std::optional<book::OrderBook::Published>& published,
-                       const std::vector<std::pair<MarkId, bool>>& marks) = 0;
+  virtual void ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+                       const std::vector<std::pair<AckRequestId, bool>>& marks) = 0;
   virtual void withdrawn(ReplicaId replica, bool out) = 0;
-  virtual void probe(ReplicaId replica) = 0;
-  virtual void watch_list(bool on) = 0;
-  virtual void look_up_list() = 0;
-  virtual void tell(std::optional<PeerId> peer, std::string_view message) = 0;
+  virtual void request_health_check(ReplicaId replica) = 0;
+  virtual void watch_endpoint_list(bool on) = 0;
+  virtual void refresh_endpoint_list() = 0;
+  virtual void send_to_peer(std::optional<PeerId> peer, std::string_view message) = 0;
   virtual void log(std::string_view line) = 0;
 };
 
-class Desk : private Host {
+class ControllerDriver : private ActionSink {
  public:
   // The clock is monotonic and starts anywhere.
   using Clock = std::function<Nanos()>;
@@ -45,8 +45,8 @@
     record::Writer* record = nullptr;  // outlives the desk
     std::string configuration;         // as the record keeps it
   };
-  Desk(const Start& start, Clock clock, Door& door);
-  ~Desk() override { stop(); }
+  ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door);
+  ~ControllerDriver() override { stop(); }
   // The module's timers run from now on; `look` is called every so often, without the lock.
   void open(std::function<void()> look, Nanos every);
   void stop();
@@ -68,17 +68,17 @@
   Nanos now() const { return clock_(); }
 
  private:
-  void set_line(TableId table, ReplicaId replica, double weight) override;
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override;
   void clear_table(TableId table) override;
   void bind(ProxyId proxy, TableId table, ClassMask classes) override;
-  void withdraw(ReplicaId replica, bool out) override;
-  void set_level(TableId table, ClassMask classes, double level, Retry retry) override;
-  void mark(MarkId mark, bool reach_all) override;
-  void arm(Nanos from_now, TimerId timer) override;
-  void watch_list(bool on) override { door_.watch_list(on); }
-  void look_up_list() override { door_.look_up_list(); }
-  void probe(ReplicaId replica) override { door_.probe(replica); }
-  void tell(std::optional<PeerId> peer, std::string_view message) override { door_.tell(peer, message); }
+  void set_ejected(ReplicaId replica, bool out) override;
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override;
+  void request_acknowledgement(AckRequestId mark, bool reach_all) override;
+  void start_timer(Nanos from_now, TimerId timer) override;
+  void watch_endpoint_list(bool on) override { door_.watch_endpoint_list(on); }
+  void refresh_endpoint_list() override { door_.refresh_endpoint_list(); }
+  void request_health_check(ReplicaId replica) override { door_.request_health_check(replica); }
+  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override { door_.send_to_peer(peer, message); }
   void log(std::string_view line) override { door_.log(line); }
 
   void touched(Nanos now);
@@ -86,16 +86,16 @@
   void keep_time(const std::function<void()>& look, Nanos every);
 
   const Clock clock_;
-  Door& door_;
+  ControllerFrontend& door_;
   const Nanos gather_;
   // Never held while anything is read or written.
   mutable std::mutex lock_;
-  book::OrderBook book_;
-  Timers timers_;
-  std::vector<std::pair<MarkId, bool>> marks_;
+  routing_state::RoutingState book_;
+  TimerQueue timers_;
+  std::vector<std::pair<AckRequestId, bool>> marks_;
   bool withdrawn_ = false;  // anybody, either way, since the last version
   std::optional<Nanos> publish_at_;
-  std::unique_ptr<record::Tap> governor_;
+  std::unique_ptr<record::RecordingController> governor_;
   std::condition_variable time_changed_;
   bool stopping_ = false;
   net::Thread timekeeper_;
--- a/src/governor/log_lines.cpp
+++ b/src/control_plane/log_lines.cpp
@@ -1,10 +1,10 @@
-#include "governor/log_lines.h"
+#include "control_plane/log_lines.h"
 
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 
 std::string with_name(std::string_view line, const std::function<std::string_view(ReplicaId)>& name_of) {
   constexpr std::string_view word = "replica ";
@@ -19,7 +19,7 @@
   return named;
 }
 
-void Complaints::add(const std::string& what) {
+void RateLimitedLogger::add(const std::string& what) {
   const Nanos now = std::chrono::steady_clock::now().time_since_epoch();
   const std::lock_guard held(lock_);
   ++since_;
--- a/src/governor/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -7,21 +7,21 @@
 #include <string>
 #include <string_view>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace spdlog {
 class logger;
 }
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 
 // The module knows numbers only; people know names. Where `name_of` gives none, the number stays.
 std::string with_name(std::string_view line, const std::function<std::string_view(ReplicaId)>& name_of);
 
 // Faults of others, which may come by the thousand: no more than one line in each while, with their count.
-class Complaints {
+class RateLimitedLogger {
  public:
-  Complaints(std::shared_ptr<spdlog::logger> log, Nanos every) : log_(std::move(log)), every_(every) {}
+  RateLimitedLogger(std::shared_ptr<spdlog::logger> log, Nanos every) : log_(std::move(log)), every_(every) {}
   void add(const std::string& what);  // from any thread
 
  private:
--- a/src/governor/status.cpp
+++ b/src/control_plane/status.cpp
@@ -1,17 +1,17 @@
-#include "governor/status.h"
+#include "control_plane/status.h"
 
 #include <nlohmann/json.hpp>
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 namespace {
 
 using json = nlohmann::ordered_json;
 
-const char* name_of(Phase phase) {
-  return phase == Phase::ready ? "ready" : phase == Phase::draining ? "draining" : "gone";
+const char* name_of(EndpointPhase phase) {
+  return phase == EndpointPhase::ready ? "ready" : phase == EndpointPhase::draining ? "draining" : "gone";
 }
 
-json tables(const config::Config& config, const Standing& standing) {
+json tables(const config::Config& config, const ControlPlaneStatus& standing) {
   json rows = json::array();
   for (const auto& [proxy, holding] : standing.version->holdings) {
     for (std::size_t k = 0; k < holding->views.size(); ++k) {
@@ -28,7 +28,7 @@
   return rows;
 }
 
-json replicas(const Standing& standing) {
+json replicas(const ControlPlaneStatus& standing) {
   json rows = json::array();
   for (std::size_t n = 0; n < standing.phases.size(); ++n) {
     const auto& place = standing.directory->replicas[n];
@@ -38,7 +38,7 @@
   return rows;
 }
 
-json proxies(const config::Config& config, const Standing& standing) {
+json proxies(const config::Config& config, const ControlPlaneStatus& standing) {
   json rows = json::array();
   for (std::size_t p = 0; p < config.proxies.known.size(); ++p) {
     const auto& proxy = config.proxies.known[p];
@@ -51,7 +51,7 @@
   return rows;
 }
 
-json versions(const Standing& standing, const intake::Outcome& reports) {
+json versions(const ControlPlaneStatus& standing, const load_reports::ReportCounts& reports) {
   return json::array({{{"version", static_cast<std::uint64_t>(standing.version->number)},
                        {"lines-waiting", standing.counts.waiting + standing.pushes.waiting},
                        {"worst-waiting", standing.counts.worst_waiting + standing.pushes.worst_waiting},
@@ -68,7 +68,7 @@
 }  // namespace
 
 std::optional<std::string> status_of(std::string_view target, const config::Config& config,
-                                     const Standing& standing, const intake::Outcome& reports) {
+                                     const ControlPlaneStatus& standing, const load_reports::ReportCounts& reports) {
   if (target == "/tables") return tables(config, standing).dump();
   if (target == "/replicas") return replicas(standing).dump();
   if (target == "/proxies") return proxies(config, standing).dump();
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-std::vector<float> read_load(std::string_view body, const std::vector<LoadColumn>& columns) {
+std::vector<float> read_load(std::string_view body, const std::vector<LoadMetric>& columns) {
   const auto report = json::parse(body, nullptr, false);
   if (!report.is_object()) return {};
   std::vector<float> load;
--- a/src/governor/timers.h
+++ b/src/control_plane/timer_queue.h
@@ -5,13 +5,13 @@
 #include <map>
 #include <optional>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::governor {
+namespace ospreypost::control_plane {
 
-class Timers {
+class TimerQueue {
  public:
-  void arm(Nanos at, TimerId timer) { due_.emplace(at, timer); }
+  void start_timer(Nanos at, TimerId timer) { due_.emplace(at, timer); }
   std::optional<Nanos> next() const {
     return due_.empty() ? std::nullopt : std::optional(due_.begin()->first);
   }
--- a/src/front/core.h
+++ b/src/delivery/delivery_service.h
@@ -8,66 +8,66 @@
 #include <string_view>
 #include <vector>
 
-#include "book/claims.h"
-#include "book/version.h"
-#include "lifetime/clients.h"
+#include "routing_state/lease_table.h"
+#include "routing_state/routing_snapshot.h"
+#include "dns/client_ttl_policy.h"
 #include "net/socket.h"
 
-namespace ospreypost::front {
+namespace ospreypost::delivery {
 
 // As every front writes it for its clients.
-inline const char* name_of(Retry retry) {
+inline const char* name_of(RetryMode retry) {
   switch (retry) {
-    case Retry::none:
+    case RetryMode::none:
       return "none";
-    case Retry::after_proof:
+    case RetryMode::after_rejection_proof:
       return "after-proof";
-    case Retry::once:
+    case RetryMode::once:
       return "once";
-    case Retry::twice:
+    case RetryMode::twice:
       return "twice";
   }
   return "none";
 }
 
 // Where a replica stands, as the list gave it last.
-struct Place {
+struct RegisteredEndpoint {
   std::string name, zone;
   net::Address address;
   bool gone = false;
 };
 
 // Immutable once shared. Replicas that are gone keep their place, for answers that are being written.
-struct Directory {
-  std::vector<Place> replicas;  // by ReplicaId
+struct EndpointDirectory {
+  std::vector<RegisteredEndpoint> replicas;  // by ReplicaId
   std::map<std::string, ReplicaId, std::less<>> by_name;
 
-  const Place& place(ReplicaId id) const { return replicas.at(static_cast<std::size_t>(id)); }
-  const Place* find(std::string_view name) const {
+  const RegisteredEndpoint& place(ReplicaId id) const { return replicas.at(static_cast<std::size_t>(id)); }
+  const RegisteredEndpoint* find(std::string_view name) const {
     const auto known = by_name.find(name);
     return known == by_name.end() ? nullptr : &place(known->second);
   }
 };
 
 // A plain proxy that takes operations of others.
-struct Entry {
+struct FallbackProxy {
   ProxyId proxy{};
   ZoneId zone{};
   net::Address address;
 };
 
-struct Told {
-  lifetime::Verdict verdict;
-  std::shared_ptr<const book::Holding> holding;  // null: nothing can be said now
-  std::shared_ptr<const Directory> directory;    // never null
-  std::vector<Entry> entries;  // for clients that get proxies: those that can be held, its own zone's first
+struct PullAnswer {
+  dns::TtlDecision verdict;
+  std::shared_ptr<const routing_state::ProxySnapshot> holding;  // null: nothing can be said now
+  std::shared_ptr<const EndpointDirectory> directory;    // never null
+  std::vector<FallbackProxy> entries;  // for clients that get proxies: those that can be held, its own zone's first
 };
 
 // What is to be sent to a proxy that is pushed to.
-struct Push {
+struct PushMessage {
   ProxyId proxy{};
-  std::shared_ptr<const book::Holding> holding;  // null: only a sign of life is asked for
-  std::shared_ptr<const Directory> directory;
+  std::shared_ptr<const routing_state::ProxySnapshot> holding;  // null: only a sign of life is asked for
+  std::shared_ptr<const EndpointDirectory> directory;
   std::vector<std::string> out;  // replicas that nobody may send to now, by name
   bool recall = false;           // in place of what somebody went back to by hand
   std::uint64_t epoch = 0;       // that it is ordered by, and by which process
@@ -75,40 +75,40 @@
 };
 
 // Told when there may be something to push; called under locks: take note and return.
-class PushFront {
+class PushListener {
  public:
-  virtual ~PushFront() = default;
+  virtual ~PushListener() = default;
   virtual void something_ordered() = 0;
 };
 
 // For fronts that are asked.
-class Core {
+class PullService {
  public:
-  virtual ~Core() = default;
+  virtual ~PullService() = default;
   // A proxy asked for its table of a class.
-  virtual Told asked(ProxyId proxy, ClassId cls) = 0;
+  virtual PullAnswer asked(ProxyId proxy, ClassId cls) = 0;
   // Somebody asked for the proxies of a zone.
-  virtual Told asked_zone(ZoneId zone) = 0;
-  virtual std::shared_ptr<const Directory> directory() const = 0;
-  virtual book::VersionNumber version() const = 0;
+  virtual PullAnswer asked_zone(ZoneId zone) = 0;
+  virtual std::shared_ptr<const EndpointDirectory> directory() const = 0;
+  virtual routing_state::SnapshotVersion version() const = 0;
 };
 
 // For fronts that push: what they are given to carry, and what they tell back.
-class PushCore {
+class PushService {
  public:
-  virtual ~PushCore() = default;
+  virtual ~PushService() = default;
   // The next push that is due, if any; it is under way until one of the four below ends it.
-  virtual std::optional<Push> next_push() = 0;
+  virtual std::optional<PushMessage> next_push() = 0;
   // How long until another may be due with nothing else happening; empty: never.
   virtual std::optional<Nanos> push_due_in() = 0;
   // It goes by that version now.
-  virtual void push_taken(ProxyId proxy, book::VersionNumber since) = 0;
+  virtual void push_taken(ProxyId proxy, routing_state::SnapshotVersion since) = 0;
   // Lost, not stored, or not in time.
   virtual void push_failed(ProxyId proxy, const std::string& why) = 0;
   // Refused for what lies there.
-  virtual void push_refused(ProxyId proxy, const book::Met& met) = 0;
+  virtual void push_refused(ProxyId proxy, const routing_state::RemoteState& met) = 0;
   // It answers, and that lies there.
-  virtual void push_met(ProxyId proxy, const book::Met& met) = 0;
+  virtual void push_met(ProxyId proxy, const routing_state::RemoteState& met) = 0;
   // Somebody made it go back by hand, to tables of these replicas; nothing that is under way ends by that.
   virtual void push_went_back(ProxyId proxy, const std::vector<std::string>& instead) = 0;
 };
--- a/src/sources/registry.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -1,4 +1,4 @@
-#include "sources/registry.h"
+#include "discovery/discovery_watcher.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 #include "http/http.h"
 
-namespace ospreypost::sources {
+namespace ospreypost::discovery {
 namespace {
 
 using namespace std::chrono_literals;
@@ -31,16 +31,16 @@
   return number;
 }
 
-Member member_of(const json& entry) {
+EndpointEntry member_of(const json& entry) {
   if (!entry.is_object()) throw net::Error("an entry is no object");
-  Member member;
+  EndpointEntry member;
   member.name = text_at(entry, "id");
   if (member.name.empty() || member.name.size() > 200) throw net::Error("id is no name");
   const auto phase = text_at(entry, "phase");
   if (phase != "SERVING" && phase != "DRAINING" && phase != "DELETED") throw net::Error("phase is unknown");
-  member.phase = phase == "SERVING" ? Phase::ready : phase == "DRAINING" ? Phase::draining : Phase::gone;
+  member.phase = phase == "SERVING" ? EndpointPhase::ready : phase == "DRAINING" ? EndpointPhase::draining : EndpointPhase::gone;
   // Of what is gone nothing but its name is needed.
-  if (member.phase == Phase::gone) return member;
+  if (member.phase == EndpointPhase::gone) return member;
   member.address = net::Address::parse(text_at(entry, "host_port"));
   member.zone = text_at(entry, "locality");
   member.kind = text_at(entry, "flavor");
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-Roster parse_roster(std::string_view text) {
-  Roster roster;
+EndpointListUpdate parse_endpoint_list_update(std::string_view text) {
+  EndpointListUpdate roster;
   json document;
   try {
     document = json::parse(text);
@@ -89,9 +89,9 @@
 }
 
 // Of one address: dials, watches, and dials again.
-class Registry::Follower {
+class DiscoveryWatcher::Follower {
  public:
-  Follower(Registry& registry, const net::Address& address) : registry_(registry), address_(address) {
+  Follower(DiscoveryWatcher& registry, const net::Address& address) : registry_(registry), address_(address) {
     thread_ = net::Thread("registry", [this] { work(); });
   }
   ~Follower() {
@@ -178,7 +178,7 @@
       throw net::Error("older lists for so long: it is asked for the whole one");
     }
     if (line.find_first_not_of(" \r\t") == std::string_view::npos) return;
-    const auto roster = parse_roster(line);
+    const auto roster = parse_endpoint_list_update(line);
     // Changes to a list that is not ours make no list.
     if (whole_ && !listed_ && !roster.complete)
       throw net::Error("changes where the whole list was asked for");
@@ -192,9 +192,9 @@
     }
   }
 
-  Registry& registry_;
+  DiscoveryWatcher& registry_;
   const net::Address address_;
-  net::Interrupt interrupt_;
+  net::CancellationEvent interrupt_;
   // Of the thread alone.
   bool whole_ = false;                         // ask without a revision
   bool listed_ = false;                        // a whole list came on this watch
@@ -206,14 +206,14 @@
   net::Thread thread_;
 };
 
-Registry::Registry(const net::Address& address, std::uint64_t revision, RegistrySink& sink, Waits waits)
+DiscoveryWatcher::DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink, Waits waits)
     : sink_(sink), waits_(waits), revision_(revision) {
   follower_ = std::make_unique<Follower>(*this, address);
 }
 
-Registry::~Registry() { stop(); }
+DiscoveryWatcher::~DiscoveryWatcher() { stop(); }
 
-void Registry::move_to(const net::Address& address) {
+void DiscoveryWatcher::move_to(const net::Address& address) {
   const std::lock_guard held(lock_);
   if (!follower_) return;
   std::erase_if(leaving_, [](const auto& follower) { return follower->has_left(); });
@@ -224,12 +224,12 @@
   follower_ = std::make_unique<Follower>(*this, address);
 }
 
-void Registry::look() {
+void DiscoveryWatcher::look() {
   const std::lock_guard held(lock_);
   if (follower_) follower_->look();
 }
 
-void Registry::stop() {
+void DiscoveryWatcher::stop() {
   std::vector<std::unique_ptr<Follower>> followers;
   {
     const std::lock_guard held(lock_);
@@ -238,25 +238,25 @@
   }
 }
 
-std::uint64_t Registry::revision() const {
+std::uint64_t DiscoveryWatcher::revision() const {
   const std::lock_guard held(taking_);
   return revision_;
 }
 
 // Two addresses may speak at a time, and one may be behind the other: what is gone or drains since must not
 // come back by an older list, nor an older change.
-bool Registry::take(const Roster& roster, bool anew) {
+bool DiscoveryWatcher::take(const EndpointListUpdate& roster, bool anew) {
   const std::lock_guard held(taking_);
   const bool older = roster.complete ? roster.revision < revision_ : roster.revision <= revision_;
   if (older && !(anew && roster.complete)) return !roster.complete && roster.revision == revision_;
   revision_ = roster.revision;
-  sink_.roster_received(roster);
+  sink_.on_endpoint_list_update(roster);
   return true;
 }
 
-void Registry::silent(const std::string& why) {
+void DiscoveryWatcher::silent(const std::string& why) {
   const std::lock_guard held(taking_);
-  sink_.registry_silent(why);
+  sink_.on_discovery_silent(why);
 }
 
 }  // namespace ospreypost::sources
--- a/src/sources/registry.h
+++ b/src/discovery/discovery_watcher.h
@@ -10,45 +10,45 @@
 #include <string_view>
 #include <vector>
 
-#include "net/interrupt.h"
+#include "net/cancellation_event.h"
 #include "net/socket.h"
 #include "net/threads.h"
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::sources {
+namespace ospreypost::discovery {
 
 // One entry as discovery writes it.
-struct Member {
+struct EndpointEntry {
   std::string name, zone, kind;
   std::uint32_t cell = 0;
   net::Address address;
-  Phase phase = Phase::ready;
+  EndpointPhase phase = EndpointPhase::ready;
   double weight = 1;
   std::optional<Nanos> started;  // since 1970; absent: long ago
 };
 
-struct Roster {
+struct EndpointListUpdate {
   std::uint64_t revision = 0;
   bool complete = false;
-  std::vector<Member> members;
+  std::vector<EndpointEntry> members;
   std::size_t refused = 0;              // entries that could not be read; the others stand
   std::vector<std::string> unreadable;  // of those, the ones that say whose they are
 };
 
 // Throws net::Error naming what is wrong where the document as a whole can't be read.
-Roster parse_roster(std::string_view text);
+EndpointListUpdate parse_endpoint_list_update(std::string_view text);
 
 // What a registry tells. Called from its own threads, never two calls at a time.
-class RegistrySink {
+class EndpointListHandler {
  public:
-  virtual ~RegistrySink() = default;
-  virtual void roster_received(const Roster& roster) = 0;
-  virtual void registry_silent(const std::string& why) = 0;  // the last list stands
+  virtual ~EndpointListHandler() = default;
+  virtual void on_endpoint_list_update(const EndpointListUpdate& roster) = 0;
+  virtual void on_discovery_silent(const std::string& why) = 0;  // the last list stands
 };
 
 // Watches until stopped, and dials again whenever a watch ends, is silent or can't be read. A list only goes
 // forward: what is older than the one known is not taken, whoever sends it.
-class Registry {
+class DiscoveryWatcher {
  public:
   struct Waits {
     net::Steady::duration connect =
@@ -63,10 +63,10 @@
     net::Steady::duration behind = std::chrono::seconds(60);
   };
   // `revision`: of the list that is known already.
-  Registry(const net::Address& address, std::uint64_t revision, RegistrySink& sink)
-      : Registry(address, revision, sink, Waits{}) {}
-  Registry(const net::Address& address, std::uint64_t revision, RegistrySink& sink, Waits waits);
-  ~Registry();
+  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink)
+      : DiscoveryWatcher(address, revision, sink, Waits{}) {}
+  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink, Waits waits);
+  ~DiscoveryWatcher();
   // Dials there at once.
   void move_to(const net::Address& address);
   // The whole list is asked for anew.
@@ -76,11 +76,11 @@
  private:
   class Follower;
   // Of one line, from one address. False: it is not taken, as it is older than what is known.
-  bool take(const Roster& roster, bool anew);
+  bool take(const EndpointListUpdate& roster, bool anew);
   std::uint64_t revision() const;
   void silent(const std::string& why);
 
-  RegistrySink& sink_;
+  EndpointListHandler& sink_;
   const Waits waits_;
   mutable std::mutex taking_;  // held while the sink is told, so that lists are told in their order
   std::uint64_t revision_;
--- a/src/sources/roll_file.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -1,4 +1,4 @@
-#include "sources/roll_file.h"
+#include "discovery/endpoint_file_source.h"
 
 #include <sys/stat.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace ospreypost::sources {
+namespace ospreypost::discovery {
 namespace {
 
 using nlohmann::json;
@@ -37,9 +37,9 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-list::Backend backend_of(const json& entry, const config::Config& config) {
+discovery::Endpoint backend_of(const json& entry, const config::Config& config) {
   if (!entry.is_object()) throw net::Error("the roll holds an entry that is no object");
-  list::Backend backend;
+  discovery::Endpoint backend;
   backend.name = text_of(entry, "name", "");
   if (!is_label(backend.name))
     throw net::Error("the roll's name '" + backend.name + "' is no label of a DNS name");
@@ -59,31 +59,31 @@
   if (entry.contains("started")) {
     const double started = number_of(entry["started"], whose + "started");
     if (started < 0 || started > 9e9) throw net::Error(whose + "started is out of range");
-    backend.started = list::WallTime(Nanos(std::llround(started * 1e6) * 1000));
+    backend.started = discovery::WallTime(Nanos(std::llround(started * 1e6) * 1000));
   }
   return backend;
 }
 
 }  // namespace
 
-std::vector<list::Backend> parse_roll(std::string_view text, const config::Config& config) {
+std::vector<discovery::Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config) {
   if (text.size() > kMostBytes) throw net::Error("the roll is longer than 16 MiB");
   const auto roll = json::parse(text, nullptr, false);
   if (roll.is_discarded()) throw net::Error("the roll is no JSON, or only half of one");
   const auto backends = roll.is_object() ? roll.find("backends") : roll.end();
   if (!roll.is_object() || backends == roll.end() || !backends->is_array())
     throw net::Error("the roll has no list of backends");
-  std::vector<list::Backend> found;
+  std::vector<discovery::Endpoint> found;
   for (const auto& entry : *backends) found.push_back(backend_of(entry, config));
   return found;
 }
 
-RollFile::RollFile(const config::Config& config, ListSink& sink, Clock clock)
+EndpointFileSource::EndpointFileSource(const config::Config& config, EndpointSourceListener& sink, Clock clock)
     : config_(config), sink_(sink), clock_(std::move(clock)) {
   thread_ = net::Thread("roll", [this] { watch(); });
 }
 
-void RollFile::stop() {
+void EndpointFileSource::stop() {
   {
     const std::lock_guard held(lock_);
     stopping_ = true;
@@ -92,7 +92,7 @@
   thread_.join();
 }
 
-void RollFile::watch() {
+void EndpointFileSource::watch() {
   std::unique_lock held(lock_);
   while (!stopping_) {
     held.unlock();
@@ -102,7 +102,7 @@
   }
 }
 
-void RollFile::read() {
+void EndpointFileSource::read() {
   try {
     struct stat found {};
     if (::stat(config_.roll.path.c_str(), &found) != 0) throw net::Error("the roll is not there");
@@ -110,17 +110,17 @@
     if (mark == last_ && !again_.exchange(false)) return;
     const auto read = clock_();
     const auto wall = std::chrono::time_point_cast<Nanos>(std::chrono::system_clock::now());
-    const auto taken = roll_.take(read, wall, parse_roll(config::read_file(config_.roll.path), config_));
+    const auto taken = roll_.take(read, wall, parse_endpoint_file(config::read_file(config_.roll.path), config_));
     // A file that was written a moment ago may be written again within one tick of the file system's clock.
     const bool settled =
         wall.time_since_epoch() - Nanos(found.st_mtim.tv_sec * 1'000'000'000 + found.st_mtim.tv_nsec) >
         kSettled;
     last_ = settled ? mark : Mark{};
     last_fault_.clear();
-    if (taken.first || !taken.changes.empty()) sink_.list_taken(taken);
+    if (taken.first || !taken.changes.empty()) sink_.on_endpoint_list_changed(taken);
   } catch (const std::exception& error) {
     // Tried again at the next look, as it may be half-written now; complained of once.
-    if (last_fault_ != error.what()) sink_.list_unreadable(error.what());
+    if (last_fault_ != error.what()) sink_.on_endpoint_list_unreadable(error.what());
     last_fault_ = error.what();
   }
 }
--- a/src/sources/roll_file.h
+++ b/src/discovery/endpoint_file_source.h
@@ -15,28 +15,28 @@
 #include <vector>
 
 #include "config/config.h"
-#include "list/roll.h"
+#include "discovery/endpoint_list.h"
 #include "net/threads.h"
 
-namespace ospreypost::sources {
+namespace ospreypost::discovery {
 
 // Throws net::Error naming what is wrong.
-std::vector<list::Backend> parse_roll(std::string_view text, const config::Config& config);
+std::vector<discovery::Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config);
 
 // What every source of the list tells.
-class ListSink {
+class EndpointSourceListener {
  public:
-  virtual ~ListSink() = default;
-  virtual void list_taken(const list::Roll::Taken& taken) = 0;
+  virtual ~EndpointSourceListener() = default;
+  virtual void on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) = 0;
   // No news, and why: the last good list stands.
-  virtual void list_unreadable(const std::string& why) = 0;
+  virtual void on_endpoint_list_unreadable(const std::string& why) = 0;
 };
 
-class RollFile {
+class EndpointFileSource {
  public:
   using Clock = std::function<Nanos()>;
-  RollFile(const config::Config& config, ListSink& sink, Clock clock);
-  ~RollFile() { stop(); }
+  EndpointFileSource(const config::Config& config, EndpointSourceListener& sink, Clock clock);
+  ~EndpointFileSource() { stop(); }
   // The whole roll is read again, changed or not.
   void look() { again_ = true; }
   void stop();
@@ -51,9 +51,9 @@
   void read();
 
   const config::Config& config_;
-  ListSink& sink_;
+  EndpointSourceListener& sink_;
   const Clock clock_;
-  list::Roll roll_;
+  discovery::EndpointList roll_;
   Mark last_;
   std::string last_fault_;
   std::atomic<bool> again_ = true;
--- a/src/list/roll.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,8 +1,8 @@
-#include "list/roll.h"
+#include "discovery/endpoint_list.h"
 
 #include <algorithm>
 
-namespace ospreypost::list {
+namespace ospreypost::discovery {
 namespace {
 
 // A start that the wall clock puts in the future is one of now; one of a life that we saw begin cannot lie
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Roll::Taken Roll::take(Nanos read, WallTime wall, std::vector<Backend> backends) {
+EndpointList::Taken EndpointList::take(Nanos read, WallTime wall, std::vector<Endpoint> backends) {
   if (backends.empty()) throw net::Error("the roll names nobody");
   std::map<std::string, Known> next;
   Taken taken{!any_, {}};
@@ -36,14 +36,14 @@
     const auto [at, fresh] = next.emplace(name, std::move(known));
     if (!fresh) throw net::Error("the roll names " + name + " twice");
     if (!changed) continue;
-    const auto phase = at->second.backend.draining ? Phase::draining : Phase::ready;
+    const auto phase = at->second.backend.draining ? EndpointPhase::draining : EndpointPhase::ready;
     taken.changes.push_back({&at->second.backend, name, phase, at->second.started});
   }
   for (const auto& [name, known] : known_) {
-    if (!next.contains(name)) taken.changes.push_back({nullptr, name, Phase::gone, std::nullopt});
+    if (!next.contains(name)) taken.changes.push_back({nullptr, name, EndpointPhase::gone, std::nullopt});
   }
   std::sort(taken.changes.begin(), taken.changes.end(),
-            [](const Change& a, const Change& b) { return a.name < b.name; });
+            [](const EndpointChange& a, const EndpointChange& b) { return a.name < b.name; });
   known_ = std::move(next);  // nodes keep their place, so the changes go on pointing at them
   last_read_ = read;
   any_ = true;
--- a/src/list/roll.h
+++ b/src/discovery/endpoint_list.h
@@ -10,46 +10,46 @@
 #include <vector>
 
 #include "net/socket.h"
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::list {
+namespace ospreypost::discovery {
 
 using WallTime = std::chrono::sys_time<Nanos>;
 
 // One entry as a source gives it.
-struct Backend {
+struct Endpoint {
   std::string name;
   std::string zone, kind, cell;
   net::Address address;
   bool draining = false;
   double weight = 1;
   std::optional<WallTime> started;
-  bool operator==(const Backend&) const = default;
+  bool operator==(const Endpoint&) const = default;
 };
 
 // What differs from the roll before.
-struct Change {
-  const Backend* backend = nullptr;  // null when it is gone
+struct EndpointChange {
+  const Endpoint* backend = nullptr;  // null when it is gone
   std::string name;
-  Phase phase = Phase::ready;
+  EndpointPhase phase = EndpointPhase::ready;
   std::optional<Nanos> started;  // on the monotonic clock
 };
 
-class Roll {
+class EndpointList {
  public:
   struct Taken {
     bool first = false;
-    std::vector<Change> changes;  // by name
+    std::vector<EndpointChange> changes;  // by name
   };
   // `read` is when it was read, on both clocks. Throws net::Error naming what is absurd, and keeps what it
   // had.
-  Taken take(Nanos read, WallTime wall, std::vector<Backend> backends);
+  Taken take(Nanos read, WallTime wall, std::vector<Endpoint> backends);
   // Since the start.
   std::size_t size() const { return known_.size(); }
 
  private:
   struct Known {
-    Backend backend;
+    Endpoint backend;
     std::optional<Nanos> started;
   };
   std::map<std::string, Known> known_;
--- a/src/names/names.h
+++ b/src/discovery/name_table.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace ospreypost::names {
+namespace ospreypost::discovery {
 
 // Numbers count from 0 in the order in which names came, and are never given twice.
 template <typename Id>
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -9,21 +9,21 @@
 #include <string>
 #include <unordered_map>
 
-#include "dns/catalogue.h"
+#include "dns/name_index.h"
 #include "dns/message.h"
-#include "front/core.h"
+#include "delivery/delivery_service.h"
 
 namespace ospreypost::dns {
 
 // What such an answer depends on, beside the question's bytes.
 struct Basis {
-  explicit Basis(const front::Told& told)
+  explicit Basis(const delivery::PullAnswer& told)
       : holding(told.holding), directory(told.directory), lifetime(told.verdict.lifetime) {}
   bool operator==(const Basis&) const = default;
 
-  std::shared_ptr<const book::Holding> holding;
-  std::shared_ptr<const front::Directory> directory;
-  lifetime::Lifetime lifetime;
+  std::shared_ptr<const routing_state::ProxySnapshot> holding;
+  std::shared_ptr<const delivery::EndpointDirectory> directory;
+  dns::Ttl lifetime;
 };
 
 // Bounded: when it is full it starts anew. Shared by threads.
--- a/src/lifetime/clients.cpp
+++ b/src/dns/client_ttl_policy.cpp
@@ -1,9 +1,9 @@
-#include "lifetime/clients.h"
+#include "dns/client_ttl_policy.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace ospreypost::lifetime {
+namespace ospreypost::dns {
 namespace {
 
 using namespace std::chrono_literals;
@@ -19,22 +19,22 @@
 
 // How long an answer may be held. What is forgiven, and what fades between two questions, has to fit within
 // the grace as well.
-Nanos hold_most(const Limits& limits) {
+Nanos hold_most(const ClientTtlLimits& limits) {
   return nanos(seconds(limits.drain_grace - limits.list_lag - limits.flight - kSlack) * kUnfaded);
 }
 
 }  // namespace
 
-bool leaves_room(const Limits& limits) { return hold_most(limits) >= Lifetime{1}; }
+bool leaves_room(const ClientTtlLimits& limits) { return hold_most(limits) >= Ttl{1}; }
 
-Clients::Clients(const Limits& limits)
+ClientTtlPolicy::ClientTtlPolicy(const ClientTtlLimits& limits)
     : hold_most_(hold_most(limits)),
       silence_(std::max<Nanos>(limits.silence, 1s)),
-      longest_(std::max(limits.longest, Lifetime{1})) {}
+      longest_(std::max(limits.longest, Ttl{1})) {}
 
-void Clients::introduce(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
+void ClientTtlPolicy::introduce(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
 
-void Clients::fade(Nanos now, Client& client) const {
+void ClientTtlPolicy::fade(Nanos now, Client& client) const {
   const double kept = std::exp2(-seconds(now - client.faded) / seconds(kMemoryHalfLife));
   client.stretch = 1 + (client.stretch - 1) * kept;
   client.late = nanos(seconds(client.late) * kept);
@@ -43,18 +43,18 @@
 
 // A cache that multiplies lifetimes and one that adds to them both show in one answer; which one it was, only
 // the next lifetime would tell. The worse of the two counts.
-Nanos Clients::held_for(const Client& client, Lifetime lifetime) const {
+Nanos ClientTtlPolicy::held_for(const Client& client, Ttl lifetime) const {
   return std::max(nanos(seconds(lifetime) * client.stretch), Nanos(lifetime) + client.late);
 }
 
-Lifetime Clients::longest_for(const Client& client) const {
+Ttl ClientTtlPolicy::longest_for(const Client& client) const {
   auto lifetime = longest_;
-  while (lifetime > Lifetime{1} && held_for(client, lifetime) > hold_most_) lifetime -= Lifetime{1};
-  return held_for(client, lifetime) <= hold_most_ ? lifetime : Lifetime{};
+  while (lifetime > Ttl{1} && held_for(client, lifetime) > hold_most_) lifetime -= Ttl{1};
+  return held_for(client, lifetime) <= hold_most_ ? lifetime : Ttl{};
 }
 
 // What an answer that has ended tells, by how long the client went on without asking again.
-void Clients::judge(Client& client, const Answer& last, Nanos held) const {
+void ClientTtlPolicy::judge(Client& client, const Answer& last, Nanos held) const {
   const Nanos late = held - Nanos(last.given) - kSlack;
   client.late = std::max(client.late, late);
   client.stretch = std::max(client.stretch, seconds(held - kSlack) / seconds(last.given));
@@ -62,7 +62,7 @@
   if (client.shown == kShown) client.doubted = false;
 }
 
-Verdict Clients::asked(Nanos now, ProxyId id, ClassId cls) {
+TtlDecision ClientTtlPolicy::asked(Nanos now, ProxyId id, ClassId cls) {
   const auto known = clients_.find(id);
   if (known == clients_.end()) return {};
   auto& client = known->second;
@@ -76,11 +76,11 @@
 
   const auto lifetime = longest_for(client);
   const bool shown = client.shown == kShown || (client.vouched && !client.doubted);
-  const bool trusted = lifetime > Lifetime{} && shown;
-  Verdict verdict;
-  verdict.service = trusted ? Service::replicas : Service::proxies;
+  const bool trusted = lifetime > Ttl{} && shown;
+  TtlDecision verdict;
+  verdict.service = trusted ? ClientService::replicas : ClientService::proxies;
   // While it has still to show itself, only short answers tell anything soon.
-  verdict.lifetime = trusted ? lifetime : Lifetime{1};
+  verdict.lifetime = trusted ? lifetime : Ttl{1};
   verdict.joins = trusted && !client.joined;
   verdict.leaves = !trusted && client.joined;
   client.joined = trusted;
@@ -88,14 +88,14 @@
   return verdict;
 }
 
-void Clients::reported(Nanos now, ProxyId id) {
+void ClientTtlPolicy::reported(Nanos now, ProxyId id) {
   const auto known = clients_.find(id);
   if (known != clients_.end()) known->second.heard = std::max(now, known->second.heard);
 }
 
 // Guards against a cache that holds on for longer than the silence: whoever returns from one, vouched for or
 // not, shows itself again. A client that was away pays with a few seconds.
-std::vector<ProxyId> Clients::silent(Nanos now) {
+std::vector<ProxyId> ClientTtlPolicy::silent(Nanos now) {
   std::vector<ProxyId> left;
   for (auto& [id, client] : clients_) {
     if (client.answers.empty()) continue;
@@ -113,7 +113,7 @@
   return left;
 }
 
-bool Clients::held(ProxyId id) const {
+bool ClientTtlPolicy::held(ProxyId id) const {
   const auto known = clients_.find(id);
   return known != clients_.end() && known->second.joined;
 }
--- a/src/lifetime/clients.h
+++ b/src/dns/client_ttl_policy.h
@@ -12,44 +12,44 @@
 #include <string>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::lifetime {
+namespace ospreypost::dns {
 
-using Lifetime = std::chrono::duration<std::uint32_t>;  // whole seconds, as records carry them
+using Ttl = std::chrono::duration<std::uint32_t>;  // whole seconds, as records carry them
 
-struct Limits {
+struct ClientTtlLimits {
   Nanos drain_grace{};  // from when the governor was told to the last operation
   Nanos list_lag{};     // that the list may be read late by
   Nanos flight{};       // of an answer, from its making to its first use, and of the question after it
   Nanos silence{};      // without a question or a report after which a client has left; at least 1 s
-  Lifetime longest{};   // ever given; at least 1 s
+  Ttl longest{};   // ever given; at least 1 s
 };
 
 // Whether anybody can be held to that grace: the shortest lifetime, 1 s, has room in it.
-bool leaves_room(const Limits& limits);
+bool leaves_room(const ClientTtlLimits& limits);
 
-enum class Service {
+enum class ClientService {
   unknown,   // no such client
   proxies,   // plain proxies that can be held; nobody, while there are none
   replicas,  // its own table
 };
 
-struct Verdict {
-  Service service = Service::unknown;
-  Lifetime lifetime{1};
+struct TtlDecision {
+  ClientService service = ClientService::unknown;
+  Ttl lifetime{1};
   bool joins = false;   // with this question
   bool leaves = false;  // it had joined, and can no longer be held
 };
 
-class Clients {
+class ClientTtlPolicy {
  public:
-  explicit Clients(const Limits& limits);
+  explicit ClientTtlPolicy(const ClientTtlLimits& limits);
 
   // `vouched`: the operator says that it asks the governor without a cache between.
   void introduce(ProxyId client, bool vouched);
   // Each class has a name of its own, and an answer of its own that may be held on to.
-  Verdict asked(Nanos now, ProxyId client, ClassId cls);
+  TtlDecision asked(Nanos now, ProxyId client, ClassId cls);
   // Its report came: it lives.
   void reported(Nanos now, ProxyId client);
   // Those that fell silent and have left; each is named once.
@@ -60,7 +60,7 @@
  private:
   struct Answer {
     Nanos at{};
-    Lifetime given{};
+    Ttl given{};
   };
   struct Client {
     bool vouched = false;
@@ -75,11 +75,11 @@
   };
   void fade(Nanos now, Client& client) const;
   void judge(Client& client, const Answer& last, Nanos held) const;
-  Nanos held_for(const Client& client, Lifetime lifetime) const;
-  Lifetime longest_for(const Client& client) const;
+  Nanos held_for(const Client& client, Ttl lifetime) const;
+  Ttl longest_for(const Client& client) const;
 
   const Nanos hold_most_, silence_;
-  const Lifetime longest_;
+  const Ttl longest_;
   std::map<ProxyId, Client> clients_;
 };
 
--- a/src/dns/catalogue.h
+++ b/src/dns/name_index.h
@@ -13,8 +13,8 @@
 #include <variant>
 #include <vector>
 
-#include "names/names.h"
-#include "rules.h"
+#include "discovery/name_table.h"
+#include "policy/controller.h"
 
 namespace ospreypost::dns {
 
@@ -34,19 +34,19 @@
 };
 struct Apex {};
 struct OwnHost {};  // the governor's own name
-struct Between {};  // no records of its own, but names below it (RFC 8020)
-struct Nobody {};   // does not exist
-struct Foreign {};  // not under the apex
-using Meaning =
-    std::variant<Foreign, Nobody, Between, Apex, OwnHost, ProxyTable, ZoneProxies, ProxyHost, ReplicaHost>;
+struct EmptyNonTerminal {};  // no records of its own, but names below it (RFC 8020)
+struct NonexistentName {};   // does not exist
+struct OutOfZone {};  // not under the apex
+using NameTarget =
+    std::variant<OutOfZone, NonexistentName, EmptyNonTerminal, Apex, OwnHost, ProxyTable, ZoneProxies, ProxyHost, ReplicaHost>;
 
-class Catalogue {
+class NameIndex {
  public:
   // `apex` and `server` with their closing dots, in small letters.
-  Catalogue(std::string apex, std::string server, const std::vector<std::string>& zones,
+  NameIndex(std::string apex, std::string server, const std::vector<std::string>& zones,
             const std::vector<std::string>& classes, const std::vector<std::string>& proxies);
   // Of a whole name in small letters with its closing dot.
-  Meaning meaning_of(std::string_view name) const;
+  NameTarget meaning_of(std::string_view name) const;
   std::string proxy_host(ProxyId proxy) const { return proxies_.name(proxy) + ".proxies." + apex_; }
   std::string replica_host(std::string_view replica) const {
     return std::string(replica) + ".replicas." + apex_;
@@ -55,14 +55,14 @@
   const std::string& server() const { return server_; }
 
  private:
-  Meaning below(std::string_view labels) const;
+  NameTarget below(std::string_view labels) const;
   template <typename Make>
-  Meaning service(std::string_view labels, Make make) const;
+  NameTarget service(std::string_view labels, Make make) const;
 
   std::string apex_, server_;
-  names::NameTable<ZoneId> zones_;
-  names::NameTable<ClassId> classes_;
-  names::NameTable<ProxyId> proxies_;
+  discovery::NameTable<ZoneId> zones_;
+  discovery::NameTable<ClassId> classes_;
+  discovery::NameTable<ProxyId> proxies_;
 };
 
 }  // namespace ospreypost::dns
--- a/src/dns/rate_limit.h
+++ b/src/dns/rate_limit.h
@@ -6,7 +6,7 @@
 #include <random>
 #include <string>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::dns {
 
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -14,12 +14,12 @@
 constexpr std::uint32_t kNegativeLifetime = 1;
 
 // How operations of the class are let in and tried again, as RFC 6763 writes such pairs.
-Record terms_record(const Question& question, std::uint32_t lifetime, const book::Holding& holding,
-                    const book::Terms& terms) {
+Record terms_record(const Question& question, std::uint32_t lifetime, const routing_state::ProxySnapshot& holding,
+                    const routing_state::TrafficPolicy& terms) {
   char level[32];
   std::snprintf(level, sizeof(level), "level=%.4f", terms.level);
   Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(holding.since)), level,
-           std::string("retry=") + front::name_of(terms.retry)}};
+           std::string("retry=") + delivery::name_of(terms.retry)}};
   return {question.asked, lifetime, std::move(txt)};
 }
 
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Responder::Responder(const config::Config& config, front::Core& core)
+Responder::Responder(const config::Config& config, delivery::PullService& core)
     : catalogue_(config.dns.apex, config.dns.server_name, config.zones, config.classes,
                  names_of(config.proxies.known)),
       proxies_(config.proxies.known),
@@ -48,10 +48,10 @@
 std::optional<Bytes> Responder::answer(std::span<const std::uint8_t> wire, bool by_tcp) {
   if (wire.size() < kLeastBytes) return std::nullopt;
   // Whoever asks is judged each time; only the making of the same answer is saved.
-  std::optional<front::Told> told;
+  std::optional<delivery::PullAnswer> told;
   if (const auto made = made_.find(wire, by_tcp)) {
     told = core_.asked(made->about.proxy, made->about.cls);
-    if (told->verdict.service == lifetime::Service::replicas && Basis(*told) == made->basis) {
+    if (told->verdict.service == dns::ClientService::replicas && Basis(*told) == made->basis) {
       auto again = made->answer;
       std::copy_n(wire.begin(), 2, again.begin());
       return again;
@@ -72,20 +72,20 @@
     return write_reply(*question, reply_to(*question, meaning), most);
   if (!told) told = core_.asked(table->proxy, table->cls);
   auto answer = write_reply(*question, proxy_table(*question, *table, *told), most);
-  if (told->verdict.service == lifetime::Service::replicas && told->holding)
+  if (told->verdict.service == dns::ClientService::replicas && told->holding)
     made_.keep(wire, by_tcp, {*table, Basis(*told), answer});
   return answer;
 }
 
-Reply Responder::reply_to(const Question& question, const Meaning& meaning) {
-  if (std::holds_alternative<Foreign>(meaning)) {
+Reply Responder::reply_to(const Question& question, const NameTarget& meaning) {
+  if (std::holds_alternative<OutOfZone>(meaning)) {
     auto refusal = nothing(Code::refused);
     refusal.authoritative = false;
     refusal.authority.clear();
     return refusal;
   }
-  if (std::holds_alternative<Nobody>(meaning)) return nothing(Code::no_name);
-  if (std::holds_alternative<Between>(meaning)) return nothing(Code::ok);
+  if (std::holds_alternative<NonexistentName>(meaning)) return nothing(Code::no_name);
+  if (std::holds_alternative<EmptyNonTerminal>(meaning)) return nothing(Code::ok);
   if (std::holds_alternative<Apex>(meaning)) return apex(question);
   if (std::holds_alternative<OwnHost>(meaning)) return address(question, own_address_, longest_);
   if (std::holds_alternative<ProxyTable>(meaning)) return nothing(Code::ok);
@@ -135,8 +135,8 @@
   return reply;
 }
 
-Reply Responder::proxy_table(const Question& question, const ProxyTable& asked, const front::Told& told) {
-  if (told.verdict.service != lifetime::Service::replicas) {
+Reply Responder::proxy_table(const Question& question, const ProxyTable& asked, const delivery::PullAnswer& told) {
+  if (told.verdict.service != dns::ClientService::replicas) {
     Reply reply;
     if (wants(question, Type::srv))
       add_entries(reply, question, told, proxies_[static_cast<std::size_t>(asked.proxy)].zone);
@@ -177,7 +177,7 @@
 }
 
 // The proxies of the asker's own zone come first; those of others only when none of these answers.
-void Responder::add_entries(Reply& reply, const Question& question, const front::Told& told,
+void Responder::add_entries(Reply& reply, const Question& question, const delivery::PullAnswer& told,
                             std::optional<ZoneId> own_zone) const {
   const auto lifetime = told.verdict.lifetime.count();
   for (const auto& entry : told.entries) {
--- a/src/dns/server.cpp
+++ b/src/dns/server.cpp
@@ -18,14 +18,14 @@
 
 std::pair<net::Socket, net::Socket> bind_both(net::Address address) {
   // A free port of one protocol may be taken for the other.
-  for (int tries = address.port == 0 ? 20 : 1;; --tries) {
+  for (int attempts = address.port == 0 ? 20 : 1;; --attempts) {
     auto udp = net::bind_udp(address);
     auto both = address;
     both.port = net::local_address(udp).port;
     try {
       return {std::move(udp), net::listen_tcp(both, 128)};
     } catch (const net::Error&) {
-      if (tries <= 1) throw;
+      if (attempts <= 1) throw;
     }
   }
 }
--- a/src/dns/server.h
+++ b/src/dns/server.h
@@ -8,7 +8,7 @@
 
 #include "dns/rate_limit.h"
 #include "dns/responder.h"
-#include "net/guests.h"
+#include "net/connection_limiter.h"
 #include "net/threads.h"
 
 namespace ospreypost::dns {
@@ -36,8 +36,8 @@
   std::mt19937 chance_;
   RateLimit rate_;
   net::Socket udp_, tcp_;
-  net::Guests guests_;
-  net::Crew connections_;
+  net::ConnectionLimiter guests_;
+  net::ThreadPool connections_;
   std::vector<net::Thread> threads_;
 };
 
--- a/src/standin/terminal.cpp
+++ b/src/fakes/caching_client.cpp
@@ -1,6 +1,6 @@
-#include "standin/terminal.h"
+#include "fakes/caching_client.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using std::chrono::nanoseconds;
@@ -9,17 +9,17 @@
 
 }  // namespace
 
-Terminal::Terminal(const std::string& name, const OperationClass& cls, nanoseconds every, nanoseconds hold,
-                   std::uint64_t first_id, judge::Trace& trace, std::uint32_t seed)
+CachingClient::CachingClient(const std::string& name, const OperationClass& cls, nanoseconds every, nanoseconds hold,
+                   std::uint64_t first_id, checker::Trace& trace, std::uint32_t seed)
     : name_(name), cls_(cls), every_(every), hold_(hold), next_id_(first_id), trace_(trace), chance_(seed) {}
 
-void Terminal::start(const net::Address& dns) {
+void CachingClient::start(const net::Address& dns) {
   dns_ = dns;
   thread_ = net::Thread(
       "terminal", [this] { work(); }, 2 * net::kSmallStack);
 }
 
-void Terminal::stop() {
+void CachingClient::stop() {
   {
     const std::lock_guard held(lock_);
     stopping_ = true;
@@ -28,7 +28,7 @@
   thread_.join();
 }
 
-void Terminal::work() {
+void CachingClient::work() {
   nanoseconds asked_at{};
   std::unique_lock held(lock_);
   while (!changed_.wait_for(held, every_, [this] { return stopping_; })) {
@@ -37,7 +37,7 @@
       auto resolved = resolve(dns_, name_);
       if (!resolved.targets.empty()) held_ = std::move(resolved), asked_at = now();
     }
-    judge::Operation operation{now(), next_id_++, cls_.name, std::nullopt};
+    checker::Operation operation{now(), next_id_++, cls_.name, std::nullopt};
     if (operate(operation.id)) operation.answered = now();
     // Before it knows anybody at all, it has nothing to ask for.
     if (!held_.targets.empty()) trace_.add(std::move(operation));
@@ -45,14 +45,14 @@
   }
 }
 
-bool Terminal::operate(std::uint64_t id) {
+bool CachingClient::operate(std::uint64_t id) {
   // Like a person: one more go, at another proxy, if the first says that nothing was done.
   std::vector<const Target*> order;
   for (const auto& target : held_.targets) order.push_back(&target);
   std::shuffle(order.begin(), order.end(), chance_);
   std::stable_sort(order.begin(), order.end(), [](auto* a, auto* b) { return a->priority < b->priority; });
   if (order.size() > 2) order.resize(2);
-  const auto until = net::Steady::now() + cls_.abandon_time;
+  const auto until = net::Steady::now() + cls_.request_deadline;
   for (const auto* target : order) {
     try {
       http::Connection connection(net::connect(target->address, until));
--- a/src/standin/terminal.h
+++ b/src/fakes/caching_client.h
@@ -7,18 +7,18 @@
 #include <mutex>
 #include <random>
 
-#include "judge/trace.h"
-#include "standin/proxy.h"
-#include "standin/stub.h"
+#include "checker/trace.h"
+#include "fakes/proxy.h"
+#include "fakes/stub.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
-class Terminal {
+class CachingClient {
  public:
   // `hold`: how long it goes on by one answer. `names_from`: number of its first operation.
-  Terminal(const std::string& name, const OperationClass& cls, std::chrono::nanoseconds every,
-           std::chrono::nanoseconds hold, std::uint64_t first_id, judge::Trace& trace, std::uint32_t seed);
-  ~Terminal() { stop(); }
+  CachingClient(const std::string& name, const OperationClass& cls, std::chrono::nanoseconds every,
+           std::chrono::nanoseconds hold, std::uint64_t first_id, checker::Trace& trace, std::uint32_t seed);
+  ~CachingClient() { stop(); }
   void start(const net::Address& dns);
   void stop();
 
@@ -30,7 +30,7 @@
   const OperationClass cls_;
   const std::chrono::nanoseconds every_, hold_;
   std::uint64_t next_id_;
-  judge::Trace& trace_;
+  checker::Trace& trace_;
   std::mt19937 chance_;
   net::Address dns_;
   Resolved held_;
--- a/src/standin/fault.h
+++ b/src/fakes/fault.h
@@ -1,7 +1,7 @@
 // What a stand-in replica can be made to suffer.
 #pragma once
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 enum class Fault {
   none,
--- a/src/standin/courier.cpp
+++ b/src/fakes/faulty_link.cpp
@@ -1,8 +1,8 @@
-#include "standin/courier.h"
+#include "fakes/faulty_link.h"
 
 #include <algorithm>
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using namespace std::chrono_literals;
@@ -18,20 +18,20 @@
 
 }  // namespace
 
-Courier::Courier(const net::Address& listen, const net::Address& receiver, std::uint32_t seed)
+FaultyLink::FaultyLink(const net::Address& listen, const net::Address& receiver, std::uint32_t seed)
     : receiver_(receiver),
       chance_(seed),
       server_(
           "courier", listen, limits(), 16, [this](const http::Request& request) { return answer(request); },
           [](const std::string&) {}) {}
 
-void Courier::carry(Carriage carriage, std::chrono::nanoseconds by) {
+void FaultyLink::carry(LinkFault carriage, std::chrono::nanoseconds by) {
   const std::lock_guard held(lock_);
   carriage_ = carriage;
   by_ = by;
 }
 
-void Courier::stop() {
+void FaultyLink::stop() {
   {
     const std::lock_guard held(lock_);
     stopping_ = true;
@@ -40,13 +40,13 @@
   server_.stop();
 }
 
-void Courier::wait(std::chrono::nanoseconds time) {
+void FaultyLink::wait(std::chrono::nanoseconds time) {
   std::unique_lock held(lock_);
   changed_.wait_for(held, time, [this] { return stopping_; });
 }
 
 // By hand, as no client that is well would write it.
-void Courier::bring_in_pieces(const http::Request& request, std::size_t bytes,
+void FaultyLink::bring_in_pieces(const http::Request& request, std::size_t bytes,
                               std::chrono::nanoseconds time) {
   const auto text =
       "PUT /generation HTTP/1.1\r\nHost: " + receiver_.text() +
@@ -62,8 +62,8 @@
   }
 }
 
-http::Response Courier::answer(const http::Request& request) {
-  auto carriage = Carriage::prompt;
+http::Response FaultyLink::answer(const http::Request& request) {
+  auto carriage = LinkFault::prompt;
   std::chrono::nanoseconds by{};
   http::Request before;
   std::size_t torn_at = 0;
@@ -74,22 +74,22 @@
     by = by_;
     before = last_;
     torn_at = std::uniform_int_distribution<std::size_t>(0, request.body.size() + 100)(chance_);
-    if (carriage != Carriage::older && carriage != Carriage::torn && carriage != Carriage::slow)
+    if (carriage != LinkFault::older && carriage != LinkFault::torn && carriage != LinkFault::slow)
       last_ = request;
   }
   try {
     const auto bring = [&](const http::Request& what) {
       return http::fetch(receiver_, what, net::Steady::now() + kPatience);
     };
-    if (carriage == Carriage::torn || carriage == Carriage::slow) {
-      bring_in_pieces(request, carriage == Carriage::torn ? torn_at : std::string::npos,
-                      carriage == Carriage::slow ? by : 0ns);
+    if (carriage == LinkFault::torn || carriage == LinkFault::slow) {
+      bring_in_pieces(request, carriage == LinkFault::torn ? torn_at : std::string::npos,
+                      carriage == LinkFault::slow ? by : 0ns);
       return {502, "text/plain", "it did not arrive\n", std::nullopt, true};
     }
-    if (carriage == Carriage::older && before.method == "PUT") return bring(before);
-    if (carriage == Carriage::twice) bring(request);
+    if (carriage == LinkFault::older && before.method == "PUT") return bring(before);
+    if (carriage == LinkFault::twice) bring(request);
     auto answered = bring(request);
-    if (carriage == Carriage::late) wait(by);
+    if (carriage == LinkFault::late) wait(by);
     return answered;
   } catch (const net::Error& error) {
     return {502, "text/plain", std::string(error.what()) + "\n", std::nullopt, true};
--- a/src/standin/courier.h
+++ b/src/fakes/faulty_link.h
@@ -8,9 +8,9 @@
 
 #include "http/http.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
-enum class Carriage {
+enum class LinkFault {
   prompt,
   late,   // the answer comes after a while
   twice,  // each push arrives twice
@@ -19,13 +19,13 @@
   slow,   // each push takes a while to arrive
 };
 
-class Courier {
+class FaultyLink {
  public:
   // Throws net::Error if the address cannot be had.
-  Courier(const net::Address& listen, const net::Address& receiver, std::uint32_t seed);
-  ~Courier() { stop(); }
+  FaultyLink(const net::Address& listen, const net::Address& receiver, std::uint32_t seed);
+  ~FaultyLink() { stop(); }
   net::Address address() const { return server_.address(); }
-  void carry(Carriage carriage, std::chrono::nanoseconds by);
+  void carry(LinkFault carriage, std::chrono::nanoseconds by);
   void stop();
 
  private:
@@ -38,7 +38,7 @@
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false;
-  Carriage carriage_ = Carriage::prompt;
+  LinkFault carriage_ = LinkFault::prompt;
   std::chrono::nanoseconds by_{};
   http::Request last_;  // push that arrived
   std::mt19937 chance_;
--- a/src/standin/proxy.cpp
+++ b/src/fakes/proxy.cpp
@@ -1,4 +1,4 @@
-#include "standin/proxy.h"
+#include "fakes/proxy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "standin/tables.h"
+#include "fakes/tables.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using namespace std::chrono_literals;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Proxy::Proxy(const ProxyShape& shape, judge::Trace& trace, std::uint32_t seed)
+Proxy::Proxy(const ProxyShape& shape, checker::Trace& trace, std::uint32_t seed)
     : shape_(shape),
       trace_(trace),
       chance_(seed),
@@ -42,7 +42,7 @@
       [this](const http::Request& request) { return answer_entry(request); }, [](const std::string&) {});
 }
 
-void Proxy::reach(const Reach& reach) {
+void Proxy::reach(const ControlPlaneAddresses& reach) {
   const std::lock_guard held(lock_);
   const bool first = reach_.dns.port == 0;
   reach_ = reach;
@@ -118,7 +118,7 @@
 }
 
 void Proxy::refresh(std::size_t cls) {
-  Reach reach;
+  ControlPlaneAddresses reach;
   {
     const std::lock_guard held(lock_);
     reach = reach_;
@@ -131,7 +131,7 @@
   if (resolved.kind == Resolved::Kind::failed) {
     // Nobody said anything: it goes on with what it holds (RFC 8767) and asks again soon.
     table.until = at + kAskAgain;
-    if (!table.any) trace_.add(judge::Answered{at, shape_.name, shape_.classes[cls].name, 0, {}, true});
+    if (!table.any) trace_.add(checker::Answered{at, shape_.name, shape_.classes[cls].name, 0, {}, true});
     return;
   }
   const auto lifetime = std::chrono::seconds(resolved.lifetime);
@@ -153,7 +153,7 @@
   }
   table.resolved = std::move(resolved);
   table.any = true;
-  judge::Answered answered{
+  checker::Answered answered{
       at, shape_.name, shape_.classes[cls].name, table.resolved.version, {}, table.resolved.replicas};
   for (const auto& target : table.resolved.targets) answered.names.push_back(target.name);
   std::erase_if(seen_since_, [&](const auto& seen) {
@@ -191,13 +191,13 @@
   const auto asked = now();
   const bool taken = workers_.take([this, id, cls] { serve_client(id, cls); });
   // Answered at once: nobody is there to serve it.
-  if (!taken) trace_.add(judge::Operation{asked, id, shape_.classes[cls].name, std::nullopt});
+  if (!taken) trace_.add(checker::Operation{asked, id, shape_.classes[cls].name, std::nullopt});
 }
 
 void Proxy::serve_client(std::uint64_t id, std::size_t index) {
   const auto& cls = shape_.classes[index];
-  judge::Operation operation{now(), id, cls.name, std::nullopt};
-  const auto until = operation.asked + cls.abandon_time;
+  checker::Operation operation{now(), id, cls.name, std::nullopt};
+  const auto until = operation.asked + cls.request_deadline;
   auto back_off = std::chrono::duration_cast<nanoseconds>(kBackOff);
   for (int repeat = 0; repeat <= kClientRepeats; ++repeat) {
     const auto outcome = perform(id, index, until);
@@ -239,7 +239,7 @@
     const bool may = outcome == Outcome::refused || (outcome != Outcome::done && any_failure) ||
                      (outcome == Outcome::unknown && shape_.sabotage.repeats_after_time_out);
     if (!may) break;
-    if (shape_.sabotage.repeats_after_time_out) until = std::max(until, now() + cls.abandon_time);
+    if (shape_.sabotage.repeats_after_time_out) until = std::max(until, now() + cls.request_deadline);
   }
   if (outcome != Outcome::done) {
     const std::lock_guard held(lock_);
@@ -273,8 +273,8 @@
                              nanoseconds until) {
   const auto begun = now();
   // Waits no longer than makes sense, so that one that hangs is given up on while the client still waits.
-  const auto patience = std::min(until, begun + cls.target_time);
-  if (replica) trace_.add(judge::Sent{begun, shape_.name, target.name, id});
+  const auto patience = std::min(until, begun + cls.latency_objective);
+  if (replica) trace_.add(checker::Sent{begun, shape_.name, target.name, id});
   auto outcome = Outcome::unknown;
   double util = -1;
   std::unique_ptr<http::Connection> connection;
@@ -306,7 +306,7 @@
   if (!replica) return outcome;
   const std::lock_guard held(lock_);
   auto& met = met_[target.name];
-  ++met.tries;
+  ++met.attempts;
   met.failed += outcome != Outcome::done;
   if (outcome == Outcome::done) met.handled_seconds += std::chrono::duration<double>(now() - begun).count();
   if (util >= 0) met.util = util;
@@ -347,7 +347,7 @@
       std::strtoull(request.target.c_str() + std::min<std::size_t>(request.target.size(), 4), nullptr, 10);
   for (std::size_t n = 0; n < shape_.classes.size(); ++n) {
     if (request.target.find("class=" + shape_.classes[n].name + "&") == std::string::npos) continue;
-    const auto outcome = perform(id, n, now() + shape_.classes[n].abandon_time);
+    const auto outcome = perform(id, n, now() + shape_.classes[n].request_deadline);
     const unsigned status = outcome == Outcome::done ? 200 : outcome == Outcome::refused ? 503 : 500;
     return {status, "application/json", "{}", std::nullopt, true};
   }
@@ -359,7 +359,7 @@
 void Proxy::keep_reporting() {
   auto from = wall_now();
   std::unique_lock held(lock_);
-  while (!changed_.wait_for(held, shape_.report_every, [this] { return stopping_; })) {
+  while (!changed_.wait_for(held, shape_.report_interval, [this] { return stopping_; })) {
     held.unlock();
     wait_while_still();
     const auto to = wall_now();
@@ -370,11 +370,11 @@
 }
 
 void Proxy::report(nanoseconds from, nanoseconds to) {
-  otlp::Report report;
+  load_reports::MetricsReport report;
   report.proxy = shape_.name;
   const std::lock_guard held(lock_);
   for (const auto& [replica, met] : met_) {
-    otlp::ReplicaPoint point{replica, {from, to}, met.tries, met.failed, met.handled_seconds, {}};
+    load_reports::ReplicaPoint point{replica, {from, to}, met.attempts, met.failed, met.handled_seconds, {}};
     if (met.util >= 0) point.load["util"] = met.util;
     report.replicas.push_back(std::move(point));
   }
@@ -383,7 +383,7 @@
         {shape_.classes[n].name, {from, to}, asked_[n].operations, asked_[n].unanswered});
   met_.clear();
   std::fill(asked_.begin(), asked_.end(), Asked{});
-  to_post_.emplace(now() + late_, otlp::write_metrics(report));
+  to_post_.emplace(now() + late_, load_reports::write_metrics(report));
   changed_.notify_all();
 }
 
--- a/src/standin/proxy.h
+++ b/src/fakes/proxy.h
@@ -13,28 +13,28 @@
 #include <vector>
 
 #include "http/http.h"
-#include "judge/trace.h"
-#include "otlp/metrics.h"
-#include "standin/stub.h"
+#include "checker/trace.h"
+#include "load_reports/otlp_metrics.h"
+#include "fakes/stub.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 struct OperationClass {
   std::string name;
   bool at_most_once = true;
-  std::chrono::nanoseconds target_time{}, abandon_time{};
+  std::chrono::nanoseconds latency_objective{}, request_deadline{};
   double work_seconds = 0;  // on a core of speed 1
 };
 
 // Where the proxy finds the governor; changes when a governor starts anew, or a resolver stands between.
-struct Reach {
+struct ControlPlaneAddresses {
   net::Address dns, reports;
   std::string folder;  // reads its tables from there instead of asking, if set
   bool cut = false;
 };
 
 // Guards taken out on purpose, to see the judge find out. Off in every day that is not a test of the judge.
-struct Sabotage {
+struct InjectedDefects {
   bool keeps_old_lines = false;         // goes on sending to what its answers no longer name
   bool repeats_after_time_out = false;  // whatever the class
   bool asks_often = false;              // whatever the lifetime
@@ -45,16 +45,16 @@
   std::string name, zone, apex;
   std::vector<OperationClass> classes;
   net::Address entry;
-  std::chrono::nanoseconds report_every{};
+  std::chrono::nanoseconds report_interval{};
   std::size_t workers = 24;
-  Sabotage sabotage;
+  InjectedDefects sabotage;
 };
 
 class Proxy {
  public:
-  Proxy(const ProxyShape& shape, judge::Trace& trace, std::uint32_t seed);
+  Proxy(const ProxyShape& shape, checker::Trace& trace, std::uint32_t seed);
   ~Proxy() { stop(); }
-  void reach(const Reach& reach);
+  void reach(const ControlPlaneAddresses& reach);
   // Reads no file anew, for as long as it is.
   void be_deaf(bool deaf);
   // Its reports are held up on their way for so long; 0: they are prompt, and may overtake those.
@@ -77,7 +77,7 @@
     bool any = false;
   };
   struct Met {
-    std::uint32_t tries = 0, failed = 0;
+    std::uint32_t attempts = 0, failed = 0;
     double handled_seconds = 0;
     double util = -1;
   };
@@ -109,14 +109,14 @@
   http::Response answer_entry(const http::Request& request);
 
   const ProxyShape shape_;
-  judge::Trace& trace_;
+  checker::Trace& trace_;
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false, deaf_ = false, still_ = false;
   std::set<std::string> cut_off_from_;
   std::chrono::nanoseconds late_{};
   std::multimap<std::chrono::nanoseconds, std::string> to_post_;  // reports, by when they go out
-  Reach reach_;
+  ControlPlaneAddresses reach_;
   std::mt19937 chance_;
   std::vector<Table> tables_;                                   // by class
   std::map<std::string, std::chrono::nanoseconds> seen_since_;  // by target, while it is named
@@ -124,7 +124,7 @@
   std::vector<Asked> asked_;
   std::map<net::Address, std::vector<std::unique_ptr<http::Connection>>> idle_;
   std::unique_ptr<http::Server> entry_;
-  net::Crew workers_;
+  net::ThreadPool workers_;
   net::Thread resolving_, reporting_, posting_;
 };
 
--- a/src/standin/replica.cpp
+++ b/src/fakes/replica.cpp
@@ -1,11 +1,11 @@
-#include "standin/replica.h"
+#include "fakes/replica.h"
 
 #include <algorithm>
 #include <atomic>
 #include <charconv>
 #include <cmath>
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using namespace std::chrono_literals;
@@ -41,14 +41,14 @@
 
 // From one start to the next crash. Its threads are joined by whoever crashes it.
 struct Replica::Life {
-  Life(const ReplicaShape& shape, judge::Trace& trace, bool cold)
+  Life(const ReplicaShape& shape, checker::Trace& trace, bool cold)
       : shape(shape),
         trace(trace),
         begun(now()),
-        cold_share(cold ? shape.cold_share : 1),
+        initial_warm_up_capacity(cold ? shape.initial_warm_up_capacity : 1),
         listener(net::listen_tcp(shape.address, 64)),
         crew("replica", shape.most_connections, 4, kStack) {
-    trace.add(judge::Started{begun, shape.name, shape.cores * shape.speed, cold_share, shape.cold_time});
+    trace.add(checker::Started{begun, shape.name, shape.cores * shape.speed, initial_warm_up_capacity, shape.warm_up_duration});
     listening = net::Thread(
         "replica", [this] { listen(); }, kStack);
   }
@@ -112,7 +112,7 @@
     if (request.target == "/load") return load();
     const auto operation = operation_of(request.target);
     if (!operation) return http::Response{400, "text/plain", "no operation\n", std::nullopt, true};
-    trace.add(judge::Arrived{now(), shape.name, operation->id, operation->work_seconds});
+    trace.add(checker::Arrived{now(), shape.name, operation->id, operation->work_seconds});
     if (fault == Fault::hang) {
       std::unique_lock held(lock);
       changed.wait(held, [this] { return dead || fault != Fault::hang; });
@@ -121,7 +121,7 @@
     if (fault == Fault::fast_errors && fails(*operation))
       return http::Response{500, "text/plain", "failed\n", std::nullopt, true};
     if (!begin(*operation)) return refused();
-    trace.add(judge::Effect{now(), shape.name, operation->id});
+    trace.add(checker::Effect{now(), shape.name, operation->id});
     const bool done = work(operation->work_seconds);
     end();
     if (!done) return std::nullopt;
@@ -169,8 +169,8 @@
   // False if the replica died meanwhile.
   bool work(double work_seconds) {
     const double age =
-        shape.cold_time > 0ns ? std::chrono::duration<double>(now() - begun) / shape.cold_time : 1;
-    const double warmth = cold_share + (1 - cold_share) * std::clamp(age, 0.0, 1.0);
+        shape.warm_up_duration > 0ns ? std::chrono::duration<double>(now() - begun) / shape.warm_up_duration : 1;
+    const double warmth = initial_warm_up_capacity + (1 - initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0);
     const double slower = fault == Fault::slow ? factor.load() : 1;
     const nanoseconds takes(std::llround(work_seconds / shape.speed / warmth * slower * 1e9));
     std::unique_lock held(lock);
@@ -180,9 +180,9 @@
   }
 
   const ReplicaShape& shape;
-  judge::Trace& trace;
+  checker::Trace& trace;
   const nanoseconds begun;
-  const double cold_share;
+  const double initial_warm_up_capacity;
   std::atomic<bool> dead = false;
   std::atomic<Fault> fault = Fault::none;
   std::atomic<double> factor = 1;
@@ -192,11 +192,11 @@
   std::size_t queued = 0;
   std::set<int> open;
   net::Socket listener;
-  net::Crew crew;
+  net::ThreadPool crew;
   net::Thread listening;
 };
 
-Replica::Replica(const ReplicaShape& shape, judge::Trace& trace) : shape_(shape), trace_(trace) {}
+Replica::Replica(const ReplicaShape& shape, checker::Trace& trace) : shape_(shape), trace_(trace) {}
 
 void Replica::start(bool cold) {
   crash();
--- a/src/standin/replica.h
+++ b/src/fakes/replica.h
@@ -13,24 +13,24 @@
 #include <string>
 
 #include "http/http.h"
-#include "judge/trace.h"
-#include "standin/fault.h"
+#include "checker/trace.h"
+#include "fakes/fault.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 struct ReplicaShape {
   std::string name;
   net::Address address;
   double cores = 2, speed = 1;
-  double cold_share = 1;
-  std::chrono::nanoseconds cold_time{};
+  double initial_warm_up_capacity = 1;
+  std::chrono::nanoseconds warm_up_duration{};
   std::size_t most_connections = 96;
   std::size_t most_queued = 32;
 };
 
 class Replica {
  public:
-  Replica(const ReplicaShape& shape, judge::Trace& trace);
+  Replica(const ReplicaShape& shape, checker::Trace& trace);
   ~Replica() { crash(); }
   // Listens, cold if `cold`. Throws net::Error if its address is taken.
   void start(bool cold);
@@ -42,7 +42,7 @@
  private:
   struct Life;
   const ReplicaShape shape_;
-  judge::Trace& trace_;
+  checker::Trace& trace_;
   std::shared_ptr<Life> life_;
 };
 
--- a/src/standin/resolver.cpp
+++ b/src/fakes/resolver.cpp
@@ -1,10 +1,10 @@
-#include "standin/resolver.h"
+#include "fakes/resolver.h"
 
 #include <array>
 
 #include "dns/message.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using namespace std::chrono_literals;
--- a/src/standin/resolver.h
+++ b/src/fakes/resolver.h
@@ -11,7 +11,7 @@
 #include "net/socket.h"
 #include "net/threads.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 class Resolver {
  public:
--- a/src/standin/stub.cpp
+++ b/src/fakes/stub.cpp
@@ -1,4 +1,4 @@
-#include "standin/stub.h"
+#include "fakes/stub.h"
 
 #include <arpa/inet.h>
 #include <arpa/nameser.h>
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <map>
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 constexpr std::size_t kMostBytes = 65535;
--- a/src/standin/stub.h
+++ b/src/fakes/stub.h
@@ -7,7 +7,7 @@
 
 #include "net/socket.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 struct Target {
   std::string name;  // its first label
--- a/src/standin/tables.cpp
+++ b/src/fakes/tables.cpp
@@ -1,11 +1,11 @@
-#include "standin/tables.h"
+#include "fakes/tables.h"
 
 #include <algorithm>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 namespace {
 
 using nlohmann::json;
--- a/src/standin/tables.h
+++ b/src/fakes/tables.h
@@ -4,9 +4,9 @@
 
 #include <string>
 
-#include "standin/stub.h"
+#include "fakes/stub.h"
 
-namespace ospreypost::standin {
+namespace ospreypost::fakes {
 
 // Kind::failed if the text is no table of that form.
 Resolved read_envoy(const std::string& text);     // JSON, file-based endpoint discovery
--- a/src/files/generation.h
+++ b/src/files/generation.h
@@ -17,13 +17,13 @@
 namespace ospreypost::files {
 
 // Orders of a higher epoch go before all of a lower one; within one, the higher version is the newer.
-struct Stamp {
+struct GenerationId {
   std::uint64_t epoch = 0, version = 0;
-  auto operator<=>(const Stamp&) const = default;
+  auto operator<=>(const GenerationId&) const = default;
 };
 
 struct Generation {
-  Stamp stamp;
+  GenerationId stamp;
   std::string owner;  // the process that ordered it; of one epoch only one can
   std::size_t lines = 0;
   std::uint64_t lease_ms = 0;      // without a sign of life after which the tables are stale
--- a/src/files/folder.cpp
+++ b/src/files/generation_store.cpp
@@ -1,4 +1,4 @@
-#include "files/folder.h"
+#include "files/generation_store.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -18,16 +18,16 @@
 
 namespace fs = std::filesystem;
 
-std::string name_of(const Stamp& stamp) {
+std::string name_of(const GenerationId& stamp) {
   return "gen-" + std::to_string(stamp.epoch) + "-" + std::to_string(stamp.version);
 }
 
-std::optional<Stamp> stamp_of(const std::string& name) {
+std::optional<GenerationId> stamp_of(const std::string& name) {
   unsigned long long epoch = 0, version = 0;
   int used = 0;
   if (std::sscanf(name.c_str(), "gen-%llu-%llu%n", &epoch, &version, &used) != 2) return std::nullopt;
   if (static_cast<std::size_t>(used) != name.size()) return std::nullopt;
-  return Stamp{epoch, version};
+  return GenerationId{epoch, version};
 }
 
 std::optional<std::string> text_of(const fs::path& path) {
@@ -59,18 +59,18 @@
 
 }  // namespace
 
-Folder::Folder(fs::path path, std::size_t keep, std::function<void(const char*)> step)
+GenerationStore::GenerationStore(fs::path path, std::size_t keep, std::function<void(const char*)> step)
     : path_(std::move(path)), keep_(std::max<std::size_t>(2, keep)), step_(std::move(step)) {
   std::error_code error;
   fs::create_directories(path_, error);
   if (error) throw net::Error("the folder " + path_.string() + ": " + error.message());
 }
 
-void Folder::step(const char* what) const {
+void GenerationStore::step(const char* what) const {
   if (step_) step_(what);
 }
 
-void Folder::write(const fs::path& to, const std::string& text) {
+void GenerationStore::write(const fs::path& to, const std::string& text) {
   step("create");
   const int file = ::open(to.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (file < 0) fail("creating", to);
@@ -93,7 +93,7 @@
   if (!good) fail("writing", to);
 }
 
-void Folder::sync_folder(const fs::path& folder) {
+void GenerationStore::sync_folder(const fs::path& folder) {
   step("fsync folder");
   const int opened = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   const bool good = opened >= 0 && ::fsync(opened) == 0;
@@ -101,7 +101,7 @@
   if (!good) fail("fsync of", folder);
 }
 
-void Folder::swap(const Stamp& stamp) {
+void GenerationStore::swap(const GenerationId& stamp) {
   const auto link = path_ / "current.new";
   std::error_code ignored;
   step("unlink");
@@ -113,18 +113,18 @@
   sync_folder(path_);
 }
 
-Taken Folder::take(const Generation& generation, bool recall) {
+StoreResult GenerationStore::take(const Generation& generation, bool recall) {
   const auto newest_taken = newest();
   const auto folder = path_ / name_of(generation.stamp);
-  if (newest_taken && generation.stamp < *newest_taken) return Taken::older;
+  if (newest_taken && generation.stamp < *newest_taken) return StoreResult::older;
   const bool same_epoch = newest_taken && generation.stamp.epoch == newest_taken->epoch;
   const auto last = same_epoch ? whole(path_ / name_of(*newest_taken)) : std::nullopt;
-  if (last && last->owner != generation.owner) return Taken::older;
+  if (last && last->owner != generation.owner) return StoreResult::older;
   if (last && last->stamp == generation.stamp) {
-    if (linked() == generation.stamp) return Taken::same;
-    if (!recall) return Taken::older;
+    if (linked() == generation.stamp) return StoreResult::same;
+    if (!recall) return StoreResult::older;
     swap(generation.stamp);
-    return Taken::swapped;
+    return StoreResult::swapped;
   }
   std::error_code error;
   // Left behind by a push that was cut short.
@@ -138,22 +138,22 @@
   sync_folder(path_);
   swap(generation.stamp);
   prune(generation.stamp);
-  return Taken::swapped;
+  return StoreResult::swapped;
 }
 
 // By the link alone, so that one whose files were damaged since can still be followed by a newer one.
-std::optional<Stamp> Folder::linked() const {
+std::optional<GenerationId> GenerationStore::linked() const {
   std::error_code error;
   return stamp_of(fs::read_symlink(path_ / "current", error).string());
 }
 
 // After a way back, the link no longer tells what was the newest.
-std::optional<Stamp> Folder::newest() const {
+std::optional<GenerationId> GenerationStore::newest() const {
   const auto marked = stamp_of(text_of(path_ / "newest").value_or(""));
   return std::max(linked(), marked);
 }
 
-std::optional<Folder::Newest> Folder::newest_owned() const {
+std::optional<GenerationStore::Newest> GenerationStore::newest_owned() const {
   const auto stamp = newest();
   if (!stamp) return std::nullopt;
   const auto generation = whole(path_ / name_of(*stamp));
@@ -161,27 +161,27 @@
 }
 
 // Not made durable: after a crash of the machine nobody has spoken.
-void Folder::touch() {
+void GenerationStore::touch() {
   const int file = ::open((path_ / "spoken").c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644);
   if (file < 0) return;
   ::futimens(file, nullptr);
   ::close(file);
 }
 
-std::int64_t Folder::touched() const {
+std::int64_t GenerationStore::touched() const {
   struct stat found {};
   if (::stat((path_ / "spoken").c_str(), &found) != 0) return 0;
   return found.st_mtim.tv_sec * 1'000'000'000 + found.st_mtim.tv_nsec;
 }
 
-void Folder::roll_back(std::uint64_t version, const std::vector<std::string>& out) {
+void GenerationStore::roll_back(std::uint64_t version, const std::vector<std::string>& out) {
   const auto newest_taken = newest();
   const auto now = newest_taken ? whole(path_ / name_of(*newest_taken)) : std::nullopt;
   if (!now) throw net::Error("nothing whole is current");
   const auto wanted = "version " + std::to_string(version);
   const auto stamps = kept();
   const auto at =
-      std::find_if(stamps.rbegin(), stamps.rend(), [&](const Stamp& s) { return s.version == version; });
+      std::find_if(stamps.rbegin(), stamps.rend(), [&](const GenerationId& s) { return s.version == version; });
   if (at == stamps.rend()) throw net::Error(wanted + " is not kept");
   const auto old = whole(path_ / name_of(*at));
   if (!old) throw net::Error(wanted + " is not whole");
@@ -195,7 +195,7 @@
   swap(*at);
 }
 
-void Folder::prune(const Stamp& current) {
+void GenerationStore::prune(const GenerationId& current) {
   // The newest of the others stay; folders of pushes that were cut short go like any other.
   auto stamps = kept();
   std::erase(stamps, current);
@@ -207,10 +207,10 @@
   }
 }
 
-std::optional<Generation> Folder::current() const { return read_current(path_); }
+std::optional<Generation> GenerationStore::current() const { return read_current(path_); }
 
-std::vector<Stamp> Folder::kept() const {
-  std::vector<Stamp> stamps;
+std::vector<GenerationId> GenerationStore::kept() const {
+  std::vector<GenerationId> stamps;
   std::error_code ignored;
   for (const auto& entry : fs::directory_iterator(path_, ignored)) {
     if (const auto stamp = stamp_of(entry.path().filename().string())) stamps.push_back(*stamp);
@@ -219,16 +219,16 @@
   return stamps;
 }
 
-std::optional<Stamp> Folder::applied() const {
+std::optional<GenerationId> GenerationStore::applied() const {
   const auto text = text_of(path_ / "applied");
   unsigned long long epoch = 0, version = 0;
   if (!text || std::sscanf(text->c_str(), "%llu %llu", &epoch, &version) != 2) return std::nullopt;
-  return Stamp{epoch, version};
+  return GenerationId{epoch, version};
 }
 
 std::optional<Generation> read_current(const fs::path& folder) {
   // Pruning may take the folder away between following the link and reading; then the link has moved on.
-  for (int tries = 0; tries < 5; ++tries) {
+  for (int attempts = 0; attempts < 5; ++attempts) {
     std::error_code error;
     const auto target = fs::read_symlink(folder / "current", error);
     if (error) return std::nullopt;
--- a/src/files/pusher.cpp
+++ b/src/files/pusher.cpp
@@ -11,10 +11,10 @@
 
 constexpr Nanos kLongest = 500ms;  // between looks, whatever is due
 
-book::Met met(const State& state) {
+routing_state::RemoteState met(const State& state) {
   return {state.any,
           state.newest.stamp.epoch,
-          book::VersionNumber{state.newest.stamp.version},
+          routing_state::SnapshotVersion{state.newest.stamp.version},
           state.newest.owner,
           state.stale,
           state.instead};
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Generation generation_of(const config::Config& config, const front::Push& push) {
+Generation generation_of(const config::Config& config, const delivery::PushMessage& push) {
   Generation generation;
   generation.owner = push.owner;
   generation.stamp = {push.epoch, static_cast<std::uint64_t>(push.holding->since)};
@@ -32,7 +32,7 @@
   for (std::size_t k = 0; k < push.holding->views.size(); ++k) {
     const auto& view = push.holding->views[k];
     if (!view) continue;
-    const Terms terms{generation.stamp.version, view->terms[k].level, front::name_of(view->terms[k].retry)};
+    const Terms terms{generation.stamp.version, view->terms[k].level, delivery::name_of(view->terms[k].retry)};
     std::vector<Endpoint> endpoints;
     for (const auto& line : view->lines) {
       const auto& place = push.directory->place(line.replica);
@@ -51,16 +51,16 @@
   return generation;
 }
 
-Pusher::Pusher(const config::Config& config, front::PushCore& core) : config_(config), core_(core) {
+Pusher::Pusher(const config::Config& config, delivery::PushService& core) : config_(config), core_(core) {
   bool any = false;
   for (const auto& proxy : config.proxies.known) {
     any = any || proxy.is_pushed_to();
     if (!proxy.folder.empty())
       shelves_[proxy.folder] =
-          std::make_unique<Shelf>(proxy.folder, config.files.keep, config.files.reader_confirms);
+          std::make_unique<GenerationShelf>(proxy.folder, config.files.keep, config.files.reader_confirms);
   }
   if (!any) return;
-  carriers_ = std::make_unique<net::Crew>("push", config.files.threads, config.files.threads);
+  carriers_ = std::make_unique<net::ThreadPool>("push", config.files.threads, config.files.threads);
   scheduler_ = net::Thread("push-schedule", [this] { schedule(); });
 }
 
@@ -100,7 +100,7 @@
   }
 }
 
-void Pusher::carry(const front::Push& push) {
+void Pusher::carry(const delivery::PushMessage& push) {
   const auto until = net::Steady::now() + config_.files.patience;
   try {
     if (!push.holding) {
@@ -128,12 +128,12 @@
   changed_.notify_one();
 }
 
-Shelf* Pusher::shelf_of(const config::ProxyEntry& proxy) {
+GenerationShelf* Pusher::shelf_of(const config::ProxyEntry& proxy) {
   if (!proxy.is_pushed_to()) throw net::Error(proxy.name + " has neither a folder nor a receiver");
   return proxy.folder.empty() ? nullptr : shelves_.at(proxy.folder).get();
 }
 
-State Pusher::state_of(ProxyId id, const front::Push* speaker, net::Deadline until) {
+State Pusher::state_of(ProxyId id, const delivery::PushMessage* speaker, net::Deadline until) {
   const auto& proxy = config_.proxies.known[static_cast<std::size_t>(id)];
   if (auto* shelf = shelf_of(proxy)) {
     if (speaker) shelf->renew(speaker->epoch, speaker->owner);
@@ -171,7 +171,7 @@
   return state;
 }
 
-std::pair<Delivery, State> Pusher::deliver(const front::Push& push, net::Deadline until) {
+std::pair<Delivery, State> Pusher::deliver(const delivery::PushMessage& push, net::Deadline until) {
   const auto& proxy = config_.proxies.known[static_cast<std::size_t>(push.proxy)];
   const auto generation = generation_of(config_, push);
   if (auto* shelf = shelf_of(proxy)) {
--- a/src/files/pusher.h
+++ b/src/files/pusher.h
@@ -9,16 +9,16 @@
 #include "config/config.h"
 #include "files/receiver.h"
 #include "files/render.h"
-#include "front/core.h"
+#include "delivery/delivery_service.h"
 
 namespace ospreypost::files {
 
 // The generation that carries a push.
-Generation generation_of(const config::Config& config, const front::Push& push);
+Generation generation_of(const config::Config& config, const delivery::PushMessage& push);
 
-class Pusher : public front::PushFront {
+class Pusher : public delivery::PushListener {
  public:
-  Pusher(const config::Config& config, front::PushCore& core);
+  Pusher(const config::Config& config, delivery::PushService& core);
   ~Pusher() override { stop(); }
   void something_ordered() override;
   void stop();
@@ -31,21 +31,21 @@
 
  private:
   void schedule();
-  void carry(const front::Push& push);
+  void carry(const delivery::PushMessage& push);
   // A sign of life, if a speaker is given.
-  State state_of(ProxyId proxy, const front::Push* speaker, net::Deadline until);
-  Shelf* shelf_of(const config::ProxyEntry& proxy);
-  std::pair<Delivery, State> deliver(const front::Push& push, net::Deadline until);
+  State state_of(ProxyId proxy, const delivery::PushMessage* speaker, net::Deadline until);
+  GenerationShelf* shelf_of(const config::ProxyEntry& proxy);
+  std::pair<Delivery, State> deliver(const delivery::PushMessage& push, net::Deadline until);
 
   const config::Config& config_;
-  front::PushCore& core_;
-  std::map<std::string, std::unique_ptr<Shelf>> shelves_;  // by folder, of this host
+  delivery::PushService& core_;
+  std::map<std::string, std::unique_ptr<GenerationShelf>> shelves_;  // by folder, of this host
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false;
   bool looked_ = false;   // since something was ordered or came back
   std::size_t busy_ = 0;  // carriers
-  std::unique_ptr<net::Crew> carriers_;
+  std::unique_ptr<net::ThreadPool> carriers_;
   net::Thread scheduler_;
 };
 
--- a/src/files/receiver.cpp
+++ b/src/files/receiver.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-Shelf::Shelf(std::string folder, std::size_t keep, bool reader_confirms,
+GenerationShelf::GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
              std::function<void(const char*)> step)
     : folder_(std::move(folder), keep, std::move(step)), reader_confirms_(reader_confirms) {
   try {
@@ -86,26 +86,26 @@
   }
 }
 
-void Shelf::renew(std::uint64_t epoch, const std::string& owner) {
+void GenerationShelf::renew(std::uint64_t epoch, const std::string& owner) {
   const std::lock_guard held(lock_);
   const auto newest = folder_.newest_owned();
   if (newest && newest->stamp.epoch == epoch && newest->owner == owner) folder_.touch();
 }
 
-bool Shelf::is_stale() {
+bool GenerationShelf::is_stale() {
   const auto touched = folder_.touched();
   if (touched != touched_) touched_ = touched, spoke_ = net::Steady::now();
   return lease_ > 0ms && net::Steady::now() > spoke_ + lease_;
 }
 
-bool Shelf::confirmed(const Stamp& stamp) const {
-  return !reader_confirms_ || folder_.applied().value_or(Stamp{}) == stamp;
+bool GenerationShelf::confirmed(const GenerationId& stamp) const {
+  return !reader_confirms_ || folder_.applied().value_or(GenerationId{}) == stamp;
 }
 
-Delivery Shelf::put(const Generation& generation, bool recall, net::Deadline until) {
+Delivery GenerationShelf::put(const Generation& generation, bool recall, net::Deadline until) {
   {
     const std::lock_guard held(lock_);
-    if (folder_.take(generation, recall) == Taken::older) return Delivery::older;
+    if (folder_.take(generation, recall) == StoreResult::older) return Delivery::older;
     folder_.touch();
     lease_ = std::chrono::milliseconds(generation.lease_ms);
   }
@@ -117,7 +117,7 @@
   return Delivery::taken;
 }
 
-State Shelf::state() {
+State GenerationShelf::state() {
   const std::lock_guard held(lock_);
   State state;
   if (const auto newest = folder_.newest_owned()) state.newest = *newest, state.any = true;
@@ -130,14 +130,14 @@
   } catch (const net::Error&) {
     state.any = true;  // something lies there, and may be gone by
   }
-  state.applied = folder_.applied().value_or(Stamp{});
+  state.applied = folder_.applied().value_or(GenerationId{});
   state.stale = is_stale();
   state.kept = folder_.kept();
   return state;
 }
 
 // Guards against bringing back what was drained since: whoever is out by the newest word stays out.
-void Shelf::roll_back(std::uint64_t version, const std::vector<std::string>& out) {
+void GenerationShelf::roll_back(std::uint64_t version, const std::vector<std::string>& out) {
   const std::lock_guard held(lock_);
   folder_.roll_back(version, out);
 }
--- a/src/files/receiver.h
+++ b/src/files/receiver.h
@@ -16,7 +16,7 @@
 #include <mutex>
 #include <string>
 
-#include "files/folder.h"
+#include "files/generation_store.h"
 #include "http/http.h"
 
 namespace ospreypost::files {
@@ -31,12 +31,12 @@
 
 // What a folder and its reader are at; as /state says it.
 struct State {
-  Stamp stored, applied;
-  Folder::Newest newest;             // as `stored`, but after a way back
+  GenerationId stored, applied;
+  GenerationStore::Newest newest;             // as `stored`, but after a way back
   std::vector<std::string> instead;  // after a way back: the replicas of `stored`
   bool any = false;                  // something is stored
   bool stale = false;                // nobody who may order has spoken within the lease
-  std::vector<Stamp> kept;
+  std::vector<GenerationId> kept;
 };
 std::string write_state(const State& state);
 State read_state(const std::string& text);  // throws net::Error
@@ -46,9 +46,9 @@
 
 // A folder with the lease of its table and the word of its reader; used by the receiver, and by the governor
 // for folders on its own host.
-class Shelf {
+class GenerationShelf {
  public:
-  Shelf(std::string folder, std::size_t keep, bool reader_confirms,
+  GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
         std::function<void(const char*)> step = {});
   // Waits for the reader until the deadline. Throws net::Error if it cannot be stored.
   Delivery put(const Generation& generation, bool recall, net::Deadline until);
@@ -59,10 +59,10 @@
   void roll_back(std::uint64_t version, const std::vector<std::string>& out);
 
  private:
-  bool confirmed(const Stamp& stamp) const;
+  bool confirmed(const GenerationId& stamp) const;
   bool is_stale();
 
-  Folder folder_;
+  GenerationStore folder_;
   const bool reader_confirms_;
   std::mutex lock_;
   // When a change of the sign was seen last: no wall clock, which may jump, and no matter which process left
@@ -82,7 +82,7 @@
   http::Response answer(const http::Request& request);
 
   const ReceiverOptions options_;
-  Shelf shelf_;
+  GenerationShelf shelf_;
   http::Server server_;
 };
 
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -45,14 +45,14 @@
       boost::system::error_code error;
       const auto used = parser.put(boost::asio::buffer(early_), error);
       early_.erase(0, used);
-      if (error && error != beast::error::need_more) throw Refused(status_of(error), error.message());
+      if (error && error != beast::error::need_more) throw RequestRejected(status_of(error), error.message());
       if (parser.is_done()) return true;
     }
     std::size_t got = 0;
     try {
       got = net::read_some(socket_, buffer, until, interrupt_);
     } catch (const net::Error& error) {
-      if (begun && net::Steady::now() >= until) throw Refused(408, "the message did not arrive in time");
+      if (begun && net::Steady::now() >= until) throw RequestRejected(408, "the message did not arrive in time");
       throw;
     }
     if (got == 0) {
@@ -160,10 +160,10 @@
   net::write_fully(socket_, written(message), until);
 }
 
-bool Connection::is_open() const { return early_.empty() && net::is_quiet(socket_); }
+bool Connection::is_open() const { return early_.empty() && net::is_idle(socket_); }
 
 Response fetch(const net::Address& address, const Request& request, net::Deadline until,
-               const net::Interrupt* interrupt) {
+               const net::CancellationEvent* interrupt) {
   constexpr std::size_t most = std::size_t{64} << 20;
   Connection connection(net::connect(address, until, interrupt), interrupt);
   auto last = request;
@@ -226,7 +226,7 @@
         if (!request) break;
         response = handler_(*request);
         response.keep_alive = response.keep_alive && request->keep_alive;
-      } catch (const Refused& refused) {
+      } catch (const RequestRejected& refused) {
         response = {refused.status, "text/plain", std::string(refused.what()) + "\n", std::nullopt, false};
       }
       more = response.keep_alive;
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "net/guests.h"
+#include "net/connection_limiter.h"
 #include "net/socket.h"
 #include "net/threads.h"
 
@@ -38,9 +38,9 @@
 };
 
 // What is wrong with a request, and the status that says so.
-class Refused : public net::Error {
+class RequestRejected : public net::Error {
  public:
-  Refused(unsigned status, const std::string& what) : net::Error(what), status(status) {}
+  RequestRejected(unsigned status, const std::string& what) : net::Error(what), status(status) {}
   unsigned status;
 };
 
@@ -48,7 +48,7 @@
 class Connection {
  public:
   // `interrupt` outlives it, and breaks its waits.
-  explicit Connection(net::Socket socket, const net::Interrupt* interrupt = nullptr)
+  explicit Connection(net::Socket socket, const net::CancellationEvent* interrupt = nullptr)
       : socket_(std::move(socket)), interrupt_(interrupt) {}
   // Empty at an orderly end between messages. Throws Refused (400, 408, 413, 431) or net::Error.
   std::optional<Request> read_request(const Limits& limits);
@@ -72,13 +72,13 @@
   bool read_into(Parser& parser, net::Deadline first, net::Steady::duration whole);
 
   net::Socket socket_;
-  const net::Interrupt* interrupt_;
+  const net::CancellationEvent* interrupt_;
   std::string early_;
 };
 
 // One request on a connection of its own. Throws net::Error.
 Response fetch(const net::Address& address, const Request& request, net::Deadline until,
-               const net::Interrupt* interrupt = nullptr);
+               const net::CancellationEvent* interrupt = nullptr);
 
 // Serves a bounded number of connections at once, those of one address at most half of them.
 class Server {
@@ -101,8 +101,8 @@
   const Complain complain_;
   std::atomic<bool> stopping_ = false;
   net::Socket listener_;
-  net::Guests guests_;
-  net::Crew crew_;
+  net::ConnectionLimiter guests_;
+  net::ThreadPool crew_;
   net::Thread listening_;
 };
 
--- a/src/intake/intake.cpp
+++ b/src/load_reports/load_report_processor.cpp
@@ -1,8 +1,8 @@
-#include "intake/intake.h"
+#include "load_reports/load_report_processor.h"
 
 #include <cmath>
 
-namespace ospreypost::intake {
+namespace ospreypost::load_reports {
 namespace {
 
 // Absent columns read as none at all: half a load report would be taken for an idle replica.
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Intake::Intake(const config::Config& config, Receiver& receiver) : config_(config), receiver_(receiver) {
+LoadReportProcessor::LoadReportProcessor(const config::Config& config, LoadReportListener& receiver) : config_(config), receiver_(receiver) {
   for (const auto& proxy : config.proxies.known) {
     proxies_.id_of(proxy.name);
     senders_.push_back(std::make_unique<Sender>(config.reports.oldest));
@@ -28,25 +28,25 @@
   for (const auto column : config.settings.load_columns) columns_.emplace_back(config::name_of(column));
 }
 
-bool Intake::counts(Judgement judgement, Outcome& outcome) const {
+bool LoadReportProcessor::counts(SpanVerdict judgement, ReportCounts& outcome) const {
   switch (judgement) {
-    case Judgement::counts:
+    case SpanVerdict::counts:
       ++outcome.taken;
       return true;
-    case Judgement::repeated:
+    case SpanVerdict::repeated:
       ++outcome.repeated;
       return false;
-    case Judgement::too_old:
+    case SpanVerdict::too_old:
       ++outcome.too_old;
       return false;
-    case Judgement::malformed:
+    case SpanVerdict::malformed:
       ++outcome.malformed;
       return false;
   }
   return false;
 }
 
-void Intake::take(Nanos received, const otlp::Report& report, Outcome& outcome) {
+void LoadReportProcessor::take(Nanos received, const load_reports::MetricsReport& report, ReportCounts& outcome) {
   outcome.malformed += report.foreign;
   const auto proxy = proxies_.find(report.proxy);
   if (!proxy) {
@@ -63,17 +63,17 @@
       continue;
     }
     if (!counts(sender.spans.take(received, "replica " + point.replica, point.span), outcome)) continue;
-    ReplicaSum sum;
+    ReplicaLoadReport sum;
     sum.zone = config_.proxies.known[static_cast<std::size_t>(*proxy)].zone;
     sum.replica = *replica;
-    sum.tries = point.tries;
-    sum.failed = std::min(point.failed, point.tries);
-    const auto handled = sum.tries - sum.failed;
+    sum.attempts = point.attempts;
+    sum.failed = std::min(point.failed, point.attempts);
+    const auto handled = sum.attempts - sum.failed;
     if (handled > 0)
-      sum.mean_time = Nanos(std::llround(std::min(point.handled_seconds / handled, 1e6) * 1e9));
+      sum.mean_latency = Nanos(std::llround(std::min(point.handled_seconds / handled, 1e6) * 1e9));
     sum.span = point.span.end - point.span.start;
     sum.load = load_of(point.load, columns_);
-    receiver_.replica_summed(sum, {*proxy, sender.spans.late(received, point.span)});
+    receiver_.on_replica_load_report(sum, {*proxy, sender.spans.late(received, point.span)});
   }
   for (const auto& point : report.classes) {
     const auto cls = classes_.find(point.cls);
@@ -82,13 +82,13 @@
       continue;
     }
     if (!counts(sender.spans.take(received, "class " + point.cls, point.span), outcome)) continue;
-    receiver_.demand_summed({*cls, point.operations, point.unanswered, point.span.end - point.span.start},
+    receiver_.on_demand_report({*cls, point.operations, point.unanswered, point.span.end - point.span.start},
                             {*proxy, sender.spans.late(received, point.span)});
   }
 }
 
-Outcome Intake::take(Nanos received, const std::vector<otlp::Report>& reports) {
-  Outcome outcome;
+ReportCounts LoadReportProcessor::take(Nanos received, const std::vector<load_reports::MetricsReport>& reports) {
+  ReportCounts outcome;
   for (const auto& report : reports) take(received, report, outcome);
   const std::lock_guard held(totals_lock_);
   totals_.taken += outcome.taken;
@@ -99,7 +99,7 @@
   return outcome;
 }
 
-Outcome Intake::totals() const {
+ReportCounts LoadReportProcessor::totals() const {
   const std::lock_guard held(totals_lock_);
   return totals_;
 }
--- a/src/otlp/metrics.cpp
+++ b/src/load_reports/otlp_metrics.cpp
@@ -1,4 +1,4 @@
-#include "otlp/metrics.h"
+#include "load_reports/otlp_metrics.h"
 
 #include <algorithm>
 #include <charconv>
@@ -9,7 +9,7 @@
 
 #include "net/socket.h"
 
-namespace ospreypost::otlp {
+namespace ospreypost::load_reports {
 namespace {
 
 using nlohmann::json;
@@ -56,10 +56,10 @@
   return "";
 }
 
-std::optional<intake::Span> span_of(const json& point) {
+std::optional<load_reports::Span> span_of(const json& point) {
   const auto start = whole(point, "startTimeUnixNano"), end = whole(point, "timeUnixNano");
   if (!start || !end || *start < 0 || *end < 0) return std::nullopt;
-  return intake::Span{Nanos(*start), Nanos(*end)};
+  return load_reports::Span{Nanos(*start), Nanos(*end)};
 }
 
 std::uint32_t count_of(double value) { return static_cast<std::uint32_t>(std::min(value, 4e9)); }
@@ -99,14 +99,14 @@
     auto& at = replicas[{replica, span->start, span->end}];
     at.replica = replica;
     at.span = *span;
-    if (metric == "ospreypost.tries") at.tries = count_of(*value);
+    if (metric == "ospreypost.tries") at.attempts = count_of(*value);
     if (metric == "ospreypost.failed") at.failed = count_of(*value);
     if (metric == "ospreypost.handled.time") at.handled_seconds = *value;
     return true;
   }
 };
 
-void gather(const json& metric, Gathered& gathered, Report& report) {
+void gather(const json& metric, Gathered& gathered, MetricsReport& report) {
   const auto name = metric.is_object() ? metric.value("name", json()) : json();
   for (const char* kind : {"sum", "gauge"}) {
     const auto at = metric.is_object() ? metric.find(kind) : metric.end();
@@ -127,7 +127,7 @@
   return {{"key", key}, {"value", {{"stringValue", value}}}};
 }
 
-json point_of(intake::Span span, const char* key, const std::string& name) {
+json point_of(load_reports::Span span, const char* key, const std::string& name) {
   return {{"startTimeUnixNano", std::to_string(span.start.count())},
           {"timeUnixNano", std::to_string(span.end.count())},
           {"attributes", json::array({text_attribute(key, name)})}};
@@ -141,10 +141,10 @@
 
 }  // namespace
 
-std::vector<Report> parse_metrics(std::string_view text) {
+std::vector<MetricsReport> parse_metrics(std::string_view text) {
   const auto request = json::parse(text, nullptr, false);
   if (request.is_discarded() || !request.is_object()) throw net::Error("no JSON object");
-  std::vector<Report> reports;
+  std::vector<MetricsReport> reports;
   for (const auto& resource : list_in(request, "resourceMetrics")) {
     auto& report = reports.emplace_back();
     if (!resource.is_object()) throw net::Error("a resource that is no object");
@@ -164,12 +164,12 @@
   return reports;
 }
 
-std::string write_metrics(const Report& report) {
-  json tries = json::array(), failed = json::array(), time = json::array(), load = json::array();
+std::string write_metrics(const MetricsReport& report) {
+  json attempts = json::array(), failed = json::array(), time = json::array(), load = json::array();
   for (const auto& point : report.replicas) {
     auto at = point_of(point.span, "replica", point.replica);
-    at["asInt"] = std::to_string(point.tries);
-    tries.push_back(at);
+    at["asInt"] = std::to_string(point.attempts);
+    attempts.push_back(at);
     at["asInt"] = std::to_string(point.failed);
     failed.push_back(at);
     at.erase("asInt");
@@ -190,7 +190,7 @@
     at["asInt"] = std::to_string(point.unanswered);
     unanswered.push_back(at);
   }
-  json metrics = json::array({sum_metric("ospreypost.tries", tries), sum_metric("ospreypost.failed", failed),
+  json metrics = json::array({sum_metric("ospreypost.tries", attempts), sum_metric("ospreypost.failed", failed),
                               sum_metric("ospreypost.handled.time", time),
                               sum_metric("ospreypost.operations", operations),
                               sum_metric("ospreypost.unanswered", unanswered)});
