--- a/src/otlp/metrics.h
+++ b/src/load_reports/otlp_metrics.h
@@ -15,23 +15,23 @@
 #include <string_view>
 #include <vector>
 
-#include "intake/spans.h"
+#include "load_reports/report_spans.h"
 
-namespace ospreypost::otlp {
+namespace ospreypost::load_reports {
 
 struct ReplicaPoint {
   std::string replica;
-  intake::Span span;
-  std::uint32_t tries = 0, failed = 0;
+  load_reports::Span span;
+  std::uint32_t attempts = 0, failed = 0;
   double handled_seconds = 0;
   std::map<std::string, double> load;  // by column
 };
 struct ClassPoint {
   std::string cls;
-  intake::Span span;
+  load_reports::Span span;
   std::uint32_t operations = 0, unanswered = 0;
 };
-struct Report {
+struct MetricsReport {
   std::string proxy;
   std::vector<ReplicaPoint> replicas;
   std::vector<ClassPoint> classes;
@@ -40,8 +40,8 @@
 };
 
 // One report for each resource. Throws net::Error if it is no such request.
-std::vector<Report> parse_metrics(std::string_view json);
+std::vector<MetricsReport> parse_metrics(std::string_view json);
 // The request that carries a report; for senders.
-std::string write_metrics(const Report& report);
+std::string write_metrics(const MetricsReport& report);
 
 }  // namespace ospreypost::otlp
--- a/src/intake/spans.cpp
+++ b/src/load_reports/report_spans.cpp
@@ -1,9 +1,9 @@
-#include "intake/spans.h"
+#include "load_reports/report_spans.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace ospreypost::intake {
+namespace ospreypost::load_reports {
 namespace {
 
 // So many reports in a row that go on from one another on another clock mean that the sender's was set anew.
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool Spans::fits_clock(Nanos received, Span span) {
+bool ReportSpans::fits_clock(Nanos received, Span span) {
   const Nanos behind = received - span.end;
   if (!behind_ || behind < *behind_) {
     // A clock that jumped ahead makes all that it said before look old; what it counted then is past anyway.
@@ -36,9 +36,9 @@
   return true;
 }
 
-Judgement Spans::take(Nanos received, const std::string& subject, Span span) {
-  if (span.end <= span.start || span.end - span.start > oldest_) return Judgement::malformed;
-  if (!fits_clock(received, span)) return Judgement::too_old;
+SpanVerdict ReportSpans::take(Nanos received, const std::string& subject, Span span) {
+  if (span.end <= span.start || span.end - span.start > oldest_) return SpanVerdict::malformed;
+  if (!fits_clock(received, span)) return SpanVerdict::too_old;
   auto& counted = counted_[subject];
   // What is older than may still come needs no remembering.
   const Nanos horizon = received - *behind_ - 2 * oldest_;
@@ -47,7 +47,7 @@
   const auto after = counted.lower_bound(span.start);
   const bool meets_after = after != counted.end() && after->first < span.end;
   const bool meets_before = after != counted.begin() && std::prev(after)->second > span.start;
-  if (meets_after || meets_before) return Judgement::repeated;
+  if (meets_after || meets_before) return SpanVerdict::repeated;
   // Spans that go on from one another become one.
   auto [at, fresh] = counted.emplace(span.start, span.end);
   if (at != counted.begin() && std::prev(at)->second == span.start) {
@@ -58,7 +58,7 @@
     at->second = next->second;
     counted.erase(next);
   }
-  return Judgement::counts;
+  return SpanVerdict::counts;
 }
 
 }  // namespace ospreypost::intake
--- a/src/intake/spans.h
+++ b/src/load_reports/report_spans.h
@@ -8,16 +8,16 @@
 #include <optional>
 #include <string>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::intake {
+namespace ospreypost::load_reports {
 
 // Of a sender's wall clock; only ever compared with others of the same sender.
 struct Span {
   Nanos start{}, end{};
 };
 
-enum class Judgement {
+enum class SpanVerdict {
   counts,
   repeated,   // some of it was counted before
   too_old,    // for what is known of the sender's clock
@@ -25,12 +25,12 @@
 };
 
 // The spans of one sender.
-class Spans {
+class ReportSpans {
  public:
   // `oldest`: how long before it arrives a span may have ended; also the longest that one may cover.
-  explicit Spans(Nanos oldest) : oldest_(oldest) {}
+  explicit ReportSpans(Nanos oldest) : oldest_(oldest) {}
   // `subject` is what was counted over the span: one replica, one class. Spans that count are remembered.
-  Judgement take(Nanos received, const std::string& subject, Span span);
+  SpanVerdict take(Nanos received, const std::string& subject, Span span);
   // How much longer than the shortest way seen one that counts took to come.
   Nanos late(Nanos received, Span span) const {
     return behind_ ? std::max(Nanos{}, received - span.end - *behind_) : Nanos{};
--- a/src/net/interrupt.h
+++ b/src/net/cancellation_event.h
@@ -5,10 +5,10 @@
 
 namespace ospreypost::net {
 
-class Interrupt {
+class CancellationEvent {
  public:
   // Throws Error if the system has no descriptor to give.
-  Interrupt();
+  CancellationEvent();
   // From any thread: all waits with it throw Error, until it is cleared.
   void set();
   void clear();
--- a/src/net/guests.h
+++ b/src/net/connection_limiter.h
@@ -11,9 +11,9 @@
 
 namespace ospreypost::net {
 
-class Guests {
+class ConnectionLimiter {
  public:
-  explicit Guests(std::size_t most_of_one) : most_of_one_(most_of_one) {}
+  explicit ConnectionLimiter(std::size_t most_of_one) : most_of_one_(most_of_one) {}
 
   // False if the address has as many as one may have: no single one may hold them all.
   bool admit(const std::string& host) {
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -36,12 +36,12 @@
   if (::epoll_ctl(poll_.get(), EPOLL_CTL_ADD, descriptor, &event) != 0) fail("epoll_ctl");
 }
 
-void Poller::want_room(int descriptor, std::uint64_t key, bool wanted) {
+void Poller::set_write_interest(int descriptor, std::uint64_t key, bool wanted) {
   auto event = event_of(key, wanted);
   if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) fail("epoll_ctl");
 }
 
-void Poller::want_news(int descriptor, std::uint64_t key, bool wanted) {
+void Poller::set_read_interest(int descriptor, std::uint64_t key, bool wanted) {
   auto event = event_of(key, false);
   if (!wanted) event.events = 0;
   if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) fail("epoll_ctl");
--- a/src/net/poller.h
+++ b/src/net/poller.h
@@ -18,9 +18,9 @@
   // `key` comes back with what happened.
   void add(int descriptor, std::uint64_t key);
   // Whether room to write is waited for besides.
-  void want_room(int descriptor, std::uint64_t key, bool wanted);
+  void set_write_interest(int descriptor, std::uint64_t key, bool wanted);
   // Whether news of it is waited for at all.
-  void want_news(int descriptor, std::uint64_t key, bool wanted);
+  void set_read_interest(int descriptor, std::uint64_t key, bool wanted);
   void remove(int descriptor);
 
   struct Ready {
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -14,7 +14,7 @@
 #include <charconv>
 #include <cstring>
 
-#include "net/interrupt.h"
+#include "net/cancellation_event.h"
 
 namespace ospreypost::net {
 namespace {
@@ -60,7 +60,7 @@
 [[noreturn]] void fail(const std::string& what) { throw Error(what + ": " + std::strerror(errno)); }
 
 // False at the deadline. Throws Error when interrupted.
-bool wait_for(int descriptor, short events, Deadline until, const Interrupt* interrupt = nullptr) {
+bool wait_for(int descriptor, short events, Deadline until, const CancellationEvent* interrupt = nullptr) {
   for (;;) {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(until - Steady::now()).count();
     std::array<pollfd, 2> asked{pollfd{descriptor, events, 0},
@@ -124,7 +124,7 @@
   descriptor_ = -1;
 }
 
-bool is_quiet(const Socket& socket) { return !wait_for(socket.get(), POLLIN, Steady::now()); }
+bool is_idle(const Socket& socket) { return !wait_for(socket.get(), POLLIN, Steady::now()); }
 
 void shut_down(int descriptor) { ::shutdown(descriptor, SHUT_RDWR); }
 
@@ -169,7 +169,7 @@
   return std::pair{std::move(accepted), cooked(from)};
 }
 
-Socket connect(const Address& address, Deadline until, const Interrupt* interrupt) {
+Socket connect(const Address& address, Deadline until, const CancellationEvent* interrupt) {
   auto socket = open(address, SOCK_STREAM | SOCK_NONBLOCK);
   auto to = raw(address);
   if (::connect(socket.get(), to.get(), to.size) != 0) {
@@ -207,7 +207,7 @@
 }
 
 std::size_t read_some(const Socket& socket, std::span<char> into, Deadline until,
-                      const Interrupt* interrupt) {
+                      const CancellationEvent* interrupt) {
   for (;;) {
     if (!wait_for(socket.get(), POLLIN, until, interrupt)) throw Error("nothing came in time");
     const auto got = ::recv(socket.get(), into.data(), into.size(), MSG_DONTWAIT);
@@ -228,7 +228,7 @@
 }
 
 void write_fully(const Socket& socket, std::span<const char> bytes, Deadline until,
-                 const Interrupt* interrupt) {
+                 const CancellationEvent* interrupt) {
   while (!bytes.empty()) {
     if (!wait_for(socket.get(), POLLOUT, until, interrupt)) throw Error("the peer takes nothing in time");
     const auto put = ::send(socket.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -14,7 +14,7 @@
 
 namespace ospreypost::net {
 
-class Interrupt;
+class CancellationEvent;
 
 using Steady = std::chrono::steady_clock;
 using Deadline = Steady::time_point;
@@ -62,7 +62,7 @@
 // Empty when the deadline passes without a connection; throws Error when the listener is closed.
 std::optional<std::pair<Socket, Address>> accept(const Socket& listener, Deadline until);
 // Throws Error when refused, not connected in time, or interrupted.
-Socket connect(const Address& address, Deadline until, const Interrupt* interrupt = nullptr);
+Socket connect(const Address& address, Deadline until, const CancellationEvent* interrupt = nullptr);
 
 // The datagram's length and its sender; empty when none came in time.
 std::optional<std::pair<std::size_t, Address>> receive_from(const Socket& socket,
@@ -73,16 +73,16 @@
 // Bytes read, at least one; 0 at the peer's end of stream. Throws Error at the deadline, a broken stream, or
 // when interrupted.
 std::size_t read_some(const Socket& socket, std::span<char> into, Deadline until,
-                      const Interrupt* interrupt = nullptr);
+                      const CancellationEvent* interrupt = nullptr);
 // False if the stream ended before the first byte; throws Error if it ends within, breaks, or at the
 // deadline.
 bool read_fully(const Socket& socket, std::span<char> into, Deadline until);
 // Nothing waits to be read, neither bytes nor the end of the stream.
-bool is_quiet(const Socket& socket);
+bool is_idle(const Socket& socket);
 // Ends both directions, so that whoever blocks on it in another thread returns at once.
 void shut_down(int descriptor);
 // Throws Error at the deadline, a broken stream, or when interrupted.
 void write_fully(const Socket& socket, std::span<const char> bytes, Deadline until,
-                 const Interrupt* interrupt = nullptr);
+                 const CancellationEvent* interrupt = nullptr);
 
 }  // namespace ospreypost::net
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -46,7 +46,7 @@
   if (std::exchange(joinable_, false)) pthread_join(handle_, nullptr);
 }
 
-Crew::Crew(const std::string& name, std::size_t threads, std::size_t most_waiting, std::size_t stack)
+ThreadPool::ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting, std::size_t stack)
     : most_waiting_(most_waiting) {
   try {
     for (std::size_t n = 0; n < threads; ++n)
@@ -59,7 +59,7 @@
   }
 }
 
-bool Crew::take(std::function<void()> job) {
+bool ThreadPool::take(std::function<void()> job) {
   const std::lock_guard held(lock_);
   if (stopping_ || waiting_.size() >= most_waiting_) return false;
   waiting_.push_back(std::move(job));
@@ -67,7 +67,7 @@
   return true;
 }
 
-void Crew::stop() {
+void ThreadPool::stop() {
   {
     const std::lock_guard held(lock_);
     stopping_ = true;
@@ -77,7 +77,7 @@
   for (auto& thread : threads_) thread.join();
 }
 
-void Crew::work() {
+void ThreadPool::work() {
   std::unique_lock held(lock_);
   for (;;) {
     changed_.wait(held, [this] { return stopping_ || !waiting_.empty(); });
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -32,12 +32,12 @@
 };
 
 // A fixed number of threads that work off jobs; no more jobs wait than stated.
-class Crew {
+class ThreadPool {
  public:
   // Throws Error if not all threads can be had.
-  Crew(const std::string& name, std::size_t threads, std::size_t most_waiting,
+  ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting,
        std::size_t stack = kSmallStack);
-  ~Crew() { stop(); }
+  ~ThreadPool() { stop(); }
   // False, and the job is not taken, when as many wait as may or the crew has stopped.
   bool take(std::function<void()> job);
   // Drops what waits, ends when the jobs at work have.
--- a/src/platform/places.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include "platform/places.h"
+#include "platform/endpoint_registry.h"
 
 #include <algorithm>
 #include <set>
@@ -14,33 +14,33 @@
 
 }  // namespace
 
-ListEntry Places::entry_of(const sources::Member& member, Taken& taken) {
+EndpointUpdate EndpointRegistry::entry_of(const discovery::EndpointEntry& member, Taken& taken) {
   const auto known = ids_.find(member.name);
   const ReplicaId id = known != ids_.end() ? known->second : ReplicaId{next_++};
   if (known == ids_.end()) ids_.emplace(member.name, id);
   auto& place = places_[id];
   place.name = member.name;
-  if (member.phase != Phase::ready && place.phase == Phase::ready) taken.out.push_back(id);
+  if (member.phase != EndpointPhase::ready && place.phase == EndpointPhase::ready) taken.out.push_back(id);
   place.phase = member.phase;
-  ListEntry entry;
+  EndpointUpdate entry;
   entry.replica = id;
   entry.phase = member.phase;
-  if (member.phase == Phase::gone) return entry;
+  if (member.phase == EndpointPhase::gone) return entry;
   place.address = member.address;
   entry.zone = ZoneId{*position(zones_, member.zone)};
-  entry.kind = KindId{*position(kinds_, member.kind)};
+  entry.kind = HardwareKindId{*position(kinds_, member.kind)};
   entry.cell = CellId{static_cast<std::uint16_t>(member.cell)};
   entry.weight = member.weight;
   if (member.started) entry.started = *member.started + offset_;
   return entry;
 }
 
-Places::Taken Places::take(const sources::Roster& roster) {
+EndpointRegistry::Taken EndpointRegistry::take(const discovery::EndpointListUpdate& roster) {
   Taken taken;
   std::set<std::string_view> named(roster.unreadable.begin(), roster.unreadable.end());
   for (const auto& member : roster.members) {
     named.insert(member.name);
-    const bool gone = member.phase == Phase::gone;
+    const bool gone = member.phase == EndpointPhase::gone;
     // Nobody needs to hear that a stranger is gone.
     if (gone && !ids_.contains(member.name)) continue;
     if (!gone && (!position(zones_, member.zone) || !position(kinds_, member.kind))) {
@@ -52,34 +52,34 @@
   if (!roster.complete) return taken;
   taken.as_changes = taken.refused + roster.refused > 0;
   for (auto& [id, place] : places_) {
-    if (named.contains(place.name) || place.phase == Phase::gone) continue;
-    if (place.phase == Phase::ready) taken.out.push_back(id);
-    place.phase = Phase::gone;
-    if (taken.as_changes) taken.entries.push_back({id, {}, {}, {}, Phase::gone, 1, std::nullopt});
+    if (named.contains(place.name) || place.phase == EndpointPhase::gone) continue;
+    if (place.phase == EndpointPhase::ready) taken.out.push_back(id);
+    place.phase = EndpointPhase::gone;
+    if (taken.as_changes) taken.entries.push_back({id, {}, {}, {}, EndpointPhase::gone, 1, std::nullopt});
   }
   return taken;
 }
 
-std::optional<ReplicaId> Places::find(std::string_view name) const {
+std::optional<ReplicaId> EndpointRegistry::find(std::string_view name) const {
   const auto known = ids_.find(name);
   if (known == ids_.end()) return std::nullopt;
   return known->second;
 }
 
-const Place* Places::place(ReplicaId id) const {
+const RegisteredEndpoint* EndpointRegistry::place(ReplicaId id) const {
   const auto known = places_.find(id);
   return known == places_.end() ? nullptr : &known->second;
 }
 
-std::vector<ReplicaId> Places::gone() const {
+std::vector<ReplicaId> EndpointRegistry::gone() const {
   std::vector<ReplicaId> found;
   for (const auto& [id, place] : places_) {
-    if (place.phase == Phase::gone) found.push_back(id);
+    if (place.phase == EndpointPhase::gone) found.push_back(id);
   }
   return found;
 }
 
-void Places::let_go(ReplicaId id) {
+void EndpointRegistry::let_go(ReplicaId id) {
   const auto known = places_.find(id);
   if (known == places_.end()) return;
   ids_.erase(known->second.name);
--- a/src/platform/places.h
+++ b/src/platform/endpoint_registry.h
@@ -10,48 +10,48 @@
 #include <utility>
 #include <vector>
 
-#include "rules.h"
-#include "sources/registry.h"
+#include "policy/controller.h"
+#include "discovery/discovery_watcher.h"
 
 namespace ospreypost::platform {
 
-struct Place {
+struct RegisteredEndpoint {
   std::string name;
   net::Address address;
-  Phase phase = Phase::gone;
+  EndpointPhase phase = EndpointPhase::gone;
 };
 
-class Places {
+class EndpointRegistry {
  public:
   // `offset`: from Unix time to the module's clock, the same for the life of the process, so that a start
   // that is told twice is one start.
-  Places(std::vector<std::string> zones, std::vector<std::string> kinds, Nanos offset)
+  EndpointRegistry(std::vector<std::string> zones, std::vector<std::string> kinds, Nanos offset)
       : zones_(std::move(zones)), kinds_(std::move(kinds)), offset_(offset) {}
 
   struct Taken {
-    std::vector<ListEntry> entries;
+    std::vector<EndpointUpdate> entries;
     std::vector<ReplicaId> out;  // known ones that are now neither ready nor were out before
     std::size_t refused = 0;     // entries of zones or kinds that the settings don't have
     // Whether a whole list is told as the changes that it comes to: an entry that cannot be read says nothing
     // of its replica, not that it is gone.
     bool as_changes = false;
   };
-  Taken take(const sources::Roster& roster);
+  Taken take(const discovery::EndpointListUpdate& roster);
 
   std::optional<ReplicaId> find(std::string_view name) const;
   // Null if it was let go or never given.
-  const Place* place(ReplicaId id) const;
+  const RegisteredEndpoint* place(ReplicaId id) const;
   // Those that are gone.
   std::vector<ReplicaId> gone() const;
   void let_go(ReplicaId id);
   std::size_t size() const { return places_.size(); }
 
  private:
-  ListEntry entry_of(const sources::Member& member, Taken& taken);
+  EndpointUpdate entry_of(const discovery::EndpointEntry& member, Taken& taken);
 
   const std::vector<std::string> zones_, kinds_;
   const Nanos offset_;
-  std::map<ReplicaId, Place> places_;
+  std::map<ReplicaId, RegisteredEndpoint> places_;
   std::map<std::string, ReplicaId, std::less<>> ids_;
   std::uint32_t next_ = 0;
 };
--- a/src/platform/peers.cpp
+++ b/src/platform/gossip_channel.cpp
@@ -1,4 +1,4 @@
-#include "platform/peers.h"
+#include "platform/gossip_channel.h"
 
 #include <algorithm>
 #include <array>
@@ -12,19 +12,19 @@
 
 }  // namespace
 
-Peers::Peers(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all,
+GossipChannel::GossipChannel(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all,
              Heard heard)
     : peers_(std::move(peers)), all_(all), heard_(std::move(heard)), socket_(net::bind_udp(listen)) {
   thread_ = net::Thread(
       "peers", [this] { this->listen(); }, kStack);
 }
 
-void Peers::stop() {
+void GossipChannel::stop() {
   stopping_ = true;
   thread_.join();
 }
 
-bool Peers::tell(std::optional<PeerId> peer, std::string_view message) {
+bool GossipChannel::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
   const auto number = peer ? static_cast<std::size_t>(*peer) : 0;
   if (message.size() > kMostBytes || (peer && number >= peers_.size())) return false;
   net::send_to(socket_, {reinterpret_cast<const std::uint8_t*>(message.data()), message.size()},
@@ -32,7 +32,7 @@
   return true;
 }
 
-void Peers::listen() {
+void GossipChannel::listen() {
   // One byte more than may come, so that what was cut is seen to be.
   std::array<std::uint8_t, kMostBytes + 1> bytes;
   while (!stopping_) {
--- a/src/platform/peers.h
+++ b/src/platform/gossip_channel.h
@@ -10,20 +10,20 @@
 
 #include "net/socket.h"
 #include "net/threads.h"
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::platform {
 
-class Peers {
+class GossipChannel {
  public:
   using Heard = std::function<void(PeerId, std::string_view)>;
   // `peers`: the address of each by its number; `all` reaches every one. `heard` is called from a thread of
   // its own. Throws net::Error if the address cannot be had.
-  Peers(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all, Heard heard);
-  ~Peers() { stop(); }
+  GossipChannel(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all, Heard heard);
+  ~GossipChannel() { stop(); }
   net::Address address() const { return net::local_address(socket_); }
   // No peer: every one. What is longer than a datagram may be is not sent, and false.
-  bool tell(std::optional<PeerId> peer, std::string_view message);
+  bool send_to_peer(std::optional<PeerId> peer, std::string_view message);
   void stop();
 
  private:
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -15,7 +15,7 @@
 constexpr double kMostRate = 1e6;
 
 [[noreturn]] void refuse(std::string_view field, const char* what) {
-  throw Spoilt(std::string(field) + " " + what);
+  throw MessageError(std::string(field) + " " + what);
 }
 
 double number(std::string_view field, std::string_view text, double most) {
@@ -48,7 +48,7 @@
 class Fields {
  public:
   explicit Fields(const std::vector<std::string_view>& words) : words_(words) {
-    if (words.size() % 2 == 0) throw Spoilt("a field without a value");
+    if (words.size() % 2 == 0) throw MessageError("a field without a value");
     for (std::size_t n = 1; n < words.size(); n += 2) {
       for (std::size_t m = 1; m < n; m += 2) {
         if (words[m] == words[n]) refuse(words[n], "comes twice");
@@ -71,35 +71,35 @@
   const std::vector<std::string_view>& words_;
 };
 
-ProxyId proxy_of(const Fields& fields, const Vocabulary& vocabulary) {
+ProxyId proxy_of(const Fields& fields, const MessageNames& vocabulary) {
   const auto id = whole("id", fields.text("id"), 65534);
   if (id >= vocabulary.proxies) refuse("id", "is no proxy's");
   return ProxyId{static_cast<std::uint16_t>(id)};
 }
 
-ZoneId zone_of(const Fields& fields, const Vocabulary& vocabulary) {
+ZoneId zone_of(const Fields& fields, const MessageNames& vocabulary) {
   return ZoneId{static_cast<std::uint16_t>(position("site", fields.text("site"), vocabulary.zones))};
 }
 
-ReplicaSum read_sum(const Fields& fields, const Vocabulary& vocabulary) {
-  ReplicaSum sum;
+ReplicaLoadReport read_sum(const Fields& fields, const MessageNames& vocabulary) {
+  ReplicaLoadReport sum;
   sum.zone = zone_of(fields, vocabulary);
   const auto replica = vocabulary.replica_of(fields.text("target"));
   if (!replica) refuse("target", "is unknown");
   sum.replica = *replica;
-  sum.tries = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
+  sum.attempts = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
   sum.failed = static_cast<std::uint32_t>(whole("fail", fields.text("fail"), kMostCount));
-  if (sum.failed > sum.tries) refuse("fail", "is above count");
+  if (sum.failed > sum.attempts) refuse("fail", "is above count");
   // Where no try went well there is no time to tell.
-  if (sum.failed < sum.tries || fields.find("mean")) sum.mean_time = time("mean", fields.text("mean"));
+  if (sum.failed < sum.attempts || fields.find("mean")) sum.mean_latency = time("mean", fields.text("mean"));
   sum.span = time("over", fields.text("over"));
   if (sum.span <= Nanos{}) refuse("over", "is no span");
   if (const auto load = fields.find("util")) sum.load = read_columns(*load, ':', vocabulary.load_columns);
   return sum;
 }
 
-Demand read_demand(const Fields& fields, const Vocabulary& vocabulary) {
-  Demand demand;
+DemandReport read_demand(const Fields& fields, const MessageNames& vocabulary) {
+  DemandReport demand;
   demand.cls = ClassId{static_cast<std::uint16_t>(position("lane", fields.text("lane"), vocabulary.classes))};
   demand.operations = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
   demand.unanswered = static_cast<std::uint32_t>(whole("fail", fields.text("fail"), kMostCount));
@@ -141,38 +141,38 @@
   return read_columns(body.substr(form.size()), '=', columns);
 }
 
-void read_message(const std::vector<std::string_view>& words, const Vocabulary& vocabulary, Party from,
-                  std::optional<ProxyId> proxy, Told& told) {
+void parse_message(const std::vector<std::string_view>& words, const MessageNames& vocabulary, PeerRole from,
+                  std::optional<ProxyId> proxy, MessageHandler& told) {
   const auto kind = words.front();
-  if (kind == "probe") return told.asked_for_life();
+  if (kind == "probe") return told.on_liveness_request();
   const Fields fields(words);
   if (kind == "hello") {
-    if (from == Party::collector) throw Spoilt("a collector that would be a proxy");
+    if (from == PeerRole::collector) throw MessageError("a collector that would be a proxy");
     const auto id = proxy_of(fields, vocabulary);
-    if (proxy && *proxy != id) throw Spoilt("a stream that would be another proxy's");
+    if (proxy && *proxy != id) throw MessageError("a stream that would be another proxy's");
     const auto zone = zone_of(fields, vocabulary);
     const double rate = number("rps", fields.text("rps"), kMostRate);
     const bool fresh = whole("new", fields.text("new"), 1) == 1;
-    return told.proxy_said_hello(id, zone, rate, fresh);
+    return told.on_proxy_hello(id, zone, rate, fresh);
   }
   if (kind == "agent") {
-    if (from == Party::proxy) throw Spoilt("a proxy that would be a collector");
-    return told.collector_said_hello(zone_of(fields, vocabulary));
+    if (from == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
+    return told.on_collector_hello(zone_of(fields, vocabulary));
   }
-  if (from == Party::stranger) throw Spoilt("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
-  if (kind == "outcomes") return told.replica_summed(read_sum(fields, vocabulary));
+  if (from == PeerRole::stranger) throw MessageError("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
+  if (kind == "outcomes") return told.on_replica_load_report(read_sum(fields, vocabulary));
   if (kind == "demand") {
     const auto id = proxy_of(fields, vocabulary);
-    if (proxy && *proxy != id) throw Spoilt("demand of another proxy");
-    return told.demand_summed(id, read_demand(fields, vocabulary));
+    if (proxy && *proxy != id) throw MessageError("demand of another proxy");
+    return told.on_demand_report(id, read_demand(fields, vocabulary));
   }
   if (kind == "ack") {
     const auto id = proxy_of(fields, vocabulary);
-    if (!proxy || *proxy != id) throw Spoilt("an answer of another proxy");
+    if (!proxy || *proxy != id) throw MessageError("an answer of another proxy");
     const auto nonce = whole("seq", fields.text("seq"), ~std::uint64_t{0});
-    return told.mark_answered(id, nonce, time("ms", fields.text("ms")));
+    return told.on_acknowledgement(id, nonce, time("ms", fields.text("ms")));
   }
-  throw Spoilt("'" + std::string(kind.substr(0, 20)) + "' is no kind of message");
+  throw MessageError("'" + std::string(kind.substr(0, 20)) + "' is no kind of message");
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/environment.cpp
+++ b/src/platform/platform_config.cpp
@@ -1,4 +1,4 @@
-#include "platform/environment.h"
+#include "platform/platform_config.h"
 
 #include <charconv>
 #include <cmath>
@@ -7,8 +7,8 @@
 #include <nlohmann/json.hpp>
 
 #include "config/xml.h"
-#include "wire/codec.h"
-#include "wire/settings.h"
+#include "simulator/codec.h"
+#include "simulator/settings.h"
 
 namespace ospreypost::platform {
 namespace {
@@ -40,7 +40,7 @@
     }
   }
   [[noreturn]] void fail(const std::string& field, const std::string& what) const {
-    throw config::Faulty(where_ + ": " + (field.empty() ? "it" : field) + " " + what);
+    throw config::ConfigError(where_ + ": " + (field.empty() ? "it" : field) + " " + what);
   }
 
  private:
@@ -84,22 +84,22 @@
   return names;
 }
 
-Retry retry_of(const Fields& fields, int number) {
+RetryMode retry_of(const Fields& fields, int number) {
   if (number < 0 || number > 3) fields.fail("settings.family-info.default-retry", "is none of 0 to 3");
-  return static_cast<Retry>(number);
+  return static_cast<RetryMode>(number);
 }
 
 }  // namespace
 
-Environment parse_environment(std::string_view text, const std::string& where) {
+PlatformConfig parse_platform_config(std::string_view text, const std::string& where) {
   json document;
   try {
     document = json::parse(text);
   } catch (const json::exception& error) {
-    throw config::Faulty(where + ": no JSON: " + error.what());
+    throw config::ConfigError(where + ": no JSON: " + error.what());
   }
   const Fields fields(document, where);
-  Environment read;
+  PlatformConfig read;
   read.name = fields.text("name");
   read.listen = fields.address("listen");
   read.discovery = fields.address("discovery");
@@ -127,17 +127,17 @@
   std::string lines;
   try {
     flatten(nested, "", lines);
-    read.settings = wire::parse_settings(lines);
+    read.settings = simulator::parse_settings(lines);
     read.usual_retry = retry_of(fields, nested.at("family-info").at("default-retry").get<int>());
     const double quantum = nested.at("quantum-s").get<double>();
     if (!(quantum >= 0 && quantum < 60)) settings.fail("quantum-s", "is out of range");
     read.quantum = Nanos(std::llround(quantum * 1e9));
     read.may_talk = !read.peers.empty() && nested.at("allowed").value("peers", false);
     read.load_columns = names_of(settings, nested.at("report").at("columns"), "report.columns");
-  } catch (const wire::Malformed& error) {
-    throw config::Faulty(where + ": " + error.what());
+  } catch (const simulator::ProtocolError& error) {
+    throw config::ConfigError(where + ": " + error.what());
   } catch (const json::exception& error) {
-    throw config::Faulty(where + ": settings: " + error.what());
+    throw config::ConfigError(where + ": settings: " + error.what());
   }
   read.classes = names_of(settings, settings.at("classes"), "classes");
   read.zones = names_of(settings, settings.at("azs"), "azs");
@@ -146,16 +146,16 @@
   return read;
 }
 
-Environment read_environment(const std::string& path) {
+PlatformConfig read_platform_config(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw config::Faulty(path + ": cannot be read");
+  if (!file) throw config::ConfigError(path + ": cannot be read");
   std::string text;
   char piece[16384];
   while (file.read(piece, sizeof(piece)) || file.gcount() > 0) {
     text.append(piece, static_cast<std::size_t>(file.gcount()));
-    if (text.size() > kMostBytes) throw config::Faulty(path + ": is larger than any configuration");
+    if (text.size() > kMostBytes) throw config::ConfigError(path + ": is larger than any configuration");
   }
-  return parse_environment(text, path);
+  return parse_platform_config(text, path);
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/environment.h
+++ b/src/platform/platform_config.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "net/socket.h"
-#include "rules.h"
-#include "sources/registry.h"
+#include "policy/controller.h"
+#include "discovery/discovery_watcher.h"
 
 namespace ospreypost::platform {
 
-struct Environment {
+struct PlatformConfig {
   std::string name;
   net::Address listen, discovery, peer_listen;
   std::vector<net::Address> peers;  // by number, its own included; empty: none
@@ -23,14 +23,14 @@
   Settings settings;
   // The names that the settings' numbers stand for, in their order.
   std::vector<std::string> classes, zones, kinds, load_columns;
-  Retry usual_retry = Retry::after_proof;  // of a proxy that has no orders for a class
+  RetryMode usual_retry = RetryMode::after_rejection_proof;  // of a proxy that has no orders for a class
   Nanos quantum{};                         // the simulator's least time between two batches
   std::string known;                       // the list as last had, in discovery's form
 };
 
 // Throws config::Faulty: one line that names `where` and the field.
-Environment parse_environment(std::string_view text, const std::string& where);
+PlatformConfig parse_platform_config(std::string_view text, const std::string& where);
 // Throws config::Faulty also where there is no such file.
-Environment read_environment(const std::string& path);
+PlatformConfig read_platform_config(const std::string& path);
 
 }  // namespace ospreypost::platform
--- a/src/platform/service.cpp
+++ b/src/platform/platform_server.cpp
@@ -1,4 +1,4 @@
-#include "platform/service.h"
+#include "platform/platform_server.h"
 
 #include <spdlog/spdlog.h>
 
@@ -28,37 +28,37 @@
 
 }  // namespace
 
-Service::Service(const Environment& environment, std::shared_ptr<spdlog::logger> log)
+Service::Service(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log)
     : environment_(environment),
       log_(std::move(log)),
       complaints_(log_, kComplainEvery),
       channel_(environment.classes, environment.usual_retry),
       places_(environment.zones, environment.kinds, now() - wall_now()) {
-  probers_ = std::make_unique<net::Crew>("prober", kProbers, kProbesWaiting, kSmallestStack);
+  probers_ = std::make_unique<net::ThreadPool>("prober", kProbers, kProbesWaiting, kSmallestStack);
   // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
   // simulator: each message costs its head, and only so many may go to a proxy.
   const auto gather = std::max(environment_.quantum, kGatherLeast);
-  desk_ = std::make_unique<governor::Desk>(
-      governor::Desk::Start{environment_.settings, environment_.seed, gather, nullptr, ""}, now,
-      static_cast<governor::Door&>(*this));
+  desk_ = std::make_unique<control_plane::ControllerDriver>(
+      control_plane::ControllerDriver::Start{environment_.settings, environment_.seed, gather, nullptr, ""}, now,
+      static_cast<control_plane::ControllerFrontend&>(*this));
   std::uint64_t revision = 0;
   try {
-    const auto known = sources::parse_roster(environment_.known);
+    const auto known = discovery::parse_endpoint_list_update(environment_.known);
     revision = known.revision;
     take_list(known, true);
   } catch (const net::Error& error) {
     complain(std::string("no list was known: ") + error.what());
   }
   if (environment_.may_talk) {
-    teller_ = std::make_unique<net::Crew>("teller", 1, kWordsWaiting, kSmallestStack);
+    teller_ = std::make_unique<net::ThreadPool>("teller", 1, kWordsWaiting, kSmallestStack);
     const auto heard = [this](PeerId peer, std::string_view message) {
       desk_->call(
-          [&](record::Tap& governor, book::OrderBook&, Nanos at) { governor.peer_said(at, peer, message); });
+          [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) { governor.on_peer_message(at, peer, message); });
     };
     peers_ =
-        std::make_unique<Peers>(environment_.peer_listen, environment_.peers, environment_.peers_all, heard);
+        std::make_unique<GossipChannel>(environment_.peer_listen, environment_.peers, environment_.peers_all, heard);
   }
-  Vocabulary vocabulary;
+  MessageNames vocabulary;
   vocabulary.classes = environment_.classes;
   vocabulary.zones = environment_.zones;
   vocabulary.load_columns = environment_.load_columns;
@@ -67,10 +67,10 @@
     const std::lock_guard held(lock_);
     return places_.find(name);
   };
-  streams_ = std::make_unique<Streams>(environment_.listen, environment_.sockets - kOtherDescriptors,
-                                       std::move(vocabulary), static_cast<StreamSink&>(*this));
-  registry_ = std::make_unique<sources::Registry>(environment_.discovery, revision,
-                                                  static_cast<sources::RegistrySink&>(*this));
+  streams_ = std::make_unique<StreamServer>(environment_.listen, environment_.sockets - kOtherDescriptors,
+                                       std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
+  registry_ = std::make_unique<discovery::DiscoveryWatcher>(environment_.discovery, revision,
+                                                  static_cast<discovery::EndpointListHandler&>(*this));
   desk_->open([this] { look_round(); }, kLookEvery);
 }
 
@@ -85,15 +85,15 @@
   if (peers_) peers_->stop();
 }
 
-void Service::renew(const Environment& environment) {
+void Service::renew(const PlatformConfig& environment) {
   log_->info("configuration read again, discovery at {}", environment.discovery.text());
   registry_->move_to(environment.discovery);
 }
 
 // --- Orders
 
-void Service::ordered(Nanos, const std::optional<book::OrderBook::Published>& published,
-                      const std::vector<std::pair<MarkId, bool>>& marks) {
+void Service::ordered(Nanos, const std::optional<routing_state::RoutingState::Published>& published,
+                      const std::vector<std::pair<AckRequestId, bool>>& marks) {
   {
     const std::lock_guard held(lock_);
     if (published) {
@@ -108,12 +108,12 @@
   if (streams_) streams_->wake();
 }
 
-void Service::probe(ReplicaId replica) {
+void Service::request_health_check(ReplicaId replica) {
   net::Address at;
   {
     const std::lock_guard held(lock_);
     const auto* place = places_.place(replica);
-    if (!place || place->phase == Phase::gone) return;
+    if (!place || place->phase == EndpointPhase::gone) return;
     if (!probed_.insert(replica).second) return;  // the last one still waits for its turn
     at = place->address;
   }
@@ -123,64 +123,64 @@
   probed_.erase(replica);
 }
 
-void Service::tell(std::optional<PeerId> peer, std::string_view message) {
+void Service::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
   if (!peers_) return;
-  teller_->take([this, peer, words = std::string(message)] { peers_->tell(peer, words); });
+  teller_->take([this, peer, words = std::string(message)] { peers_->send_to_peer(peer, words); });
 }
 
 void Service::log(std::string_view line) {
   std::string named;
   {
     const std::lock_guard held(lock_);
-    named = governor::with_name(line, [this](ReplicaId id) { return name_of(id); });
+    named = control_plane::with_name(line, [this](ReplicaId id) { return name_of(id); });
   }
   log_->info("{}", named);
 }
 
 // --- Streams
 
-void Service::proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
-  desk_->call([&](record::Tap& governor, book::OrderBook& book, Nanos at) {
+void Service::on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
+  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
     {
       const std::lock_guard held(lock_);
       channel_.joined(proxy);
     }
     book.left(proxy);
     book.joined(proxy);
-    governor.proxy_joined(at, proxy, zone, operations_per_second, fresh);
+    governor.on_proxy_joined(at, proxy, zone, operations_per_second, fresh);
   });
 }
 
-void Service::proxy_left(ProxyId proxy) {
-  desk_->call([&](record::Tap& governor, book::OrderBook& book, Nanos at) {
-    governor.proxy_left(at, proxy);
+void Service::on_proxy_left(ProxyId proxy) {
+  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
+    governor.on_proxy_left(at, proxy);
     book.left(proxy);
     const std::lock_guard held(lock_);
     channel_.left(proxy);
   });
 }
 
-void Service::replica_summed(const ReplicaSum& sum) {
-  desk_->call([&](record::Tap& governor, book::OrderBook&, Nanos at) {
-    governor.replica_summed(at, sum, record::Origin{});
+void Service::on_replica_load_report(const ReplicaLoadReport& sum) {
+  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    governor.on_replica_load_report(at, sum, record::Origin{});
   });
 }
 
-void Service::demand_summed(ProxyId proxy, const Demand& demand) {
-  desk_->call([&](record::Tap& governor, book::OrderBook&, Nanos at) {
-    governor.demand_summed(at, demand, record::Origin{proxy, {}});
+void Service::on_demand_report(ProxyId proxy, const DemandReport& demand) {
+  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    governor.on_demand_report(at, demand, record::Origin{proxy, {}});
   });
 }
 
-void Service::mark_answered(ProxyId proxy, std::uint64_t nonce, Nanos took) {
-  std::vector<MarkId> settled;
+void Service::on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) {
+  std::vector<AckRequestId> settled;
   {
     const std::lock_guard held(lock_);
     settled = channel_.answered(proxy, nonce);
   }
   for (const auto mark : settled) {
-    desk_->call([&](record::Tap& governor, book::OrderBook&, Nanos at) {
-      governor.orders_applied(at, proxy, mark, took);
+    desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+      governor.on_acknowledged(at, proxy, mark, took);
     });
   }
 }
@@ -203,37 +203,37 @@
 
 // --- The list, and what is asked of replicas
 
-void Service::roster_received(const sources::Roster& roster) { take_list(roster, false); }
+void Service::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) { take_list(roster, false); }
 
-void Service::take_list(const sources::Roster& roster, bool at_start) {
+void Service::take_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   log_list(roster, at_start);
   std::size_t refused = roster.refused;
-  desk_->call([&](record::Tap& governor, book::OrderBook&, Nanos at) {
-    Places::Taken taken;
+  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    EndpointRegistry::Taken taken;
     {
       const std::lock_guard held(lock_);
       taken = places_.take(roster);
       channel_.out(taken.out);
     }
     refused += taken.refused;
-    const auto kind = at_start                               ? ListKind::cached
-                      : roster.complete && !taken.as_changes ? ListKind::complete
-                                                             : ListKind::changes;
-    governor.list_received(at, kind, taken.entries);
+    const auto kind = at_start                               ? EndpointListKind::cached
+                      : roster.complete && !taken.as_changes ? EndpointListKind::complete
+                                                             : EndpointListKind::changes;
+    governor.on_endpoint_list(at, kind, taken.entries);
   });
   if (refused > 0) complain("entries of the list that cannot be read");
   if (streams_) streams_->wake();
 }
 
 // At the start a line for all, later one for each change.
-void Service::log_list(const sources::Roster& roster, bool at_start) {
+void Service::log_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   std::size_t ready = 0, young = 0;
   for (const auto& member : roster.members) {
-    const bool recent = member.started && wall_now() - *member.started < environment_.settings.cold_time;
-    ready += member.phase == Phase::ready;
-    young += member.phase == Phase::ready && recent;
-    const char* phase = member.phase == Phase::ready      ? (recent ? "ready, cold" : "ready")
-                        : member.phase == Phase::draining ? "draining"
+    const bool recent = member.started && wall_now() - *member.started < environment_.settings.warm_up_duration;
+    ready += member.phase == EndpointPhase::ready;
+    young += member.phase == EndpointPhase::ready && recent;
+    const char* phase = member.phase == EndpointPhase::ready      ? (recent ? "ready, cold" : "ready")
+                        : member.phase == EndpointPhase::draining ? "draining"
                                                           : "gone";
     if (!roster.complete) log_->info("list replica={} phase={}", member.name, phase);
   }
@@ -243,7 +243,7 @@
 }
 
 void Service::ask_load(ReplicaId replica, const net::Address& at) {
-  ProbeAnswer answer;
+  HealthCheckResult answer;
   answer.replica = replica;
   {
     const std::lock_guard held(lock_);
@@ -257,7 +257,7 @@
     answer.refused = got.status == 503;
     answer.answered = got.status == 200;
     if (answer.answered) answer.load = read_report(got.body, environment_.load_columns);
-  } catch (const Spoilt& spoilt) {
+  } catch (const MessageError& spoilt) {
     complain("a load report was dropped: " + std::string(spoilt.what()));
     answer.answered = false;
   } catch (const std::exception&) {
@@ -266,7 +266,7 @@
   answer.took = net::Steady::now() - begun;
   if (stopped_) return;
   desk_->call(
-      [&](record::Tap& governor, book::OrderBook&, Nanos now) { governor.probe_answered(now, answer); });
+      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_health_check_result(now, answer); });
 }
 
 // Every so often: what no call may do, as it would wait or take long.
--- a/src/platform/streams.cpp
+++ b/src/platform/stream_server.cpp
@@ -1,4 +1,4 @@
-#include "platform/streams.h"
+#include "platform/stream_server.h"
 
 #include <array>
 
@@ -32,17 +32,17 @@
 }  // namespace
 
 // What one message tells, with the connection that it came on.
-class Streams::Ear : public Told {
+class StreamServer::ConnectionMessageHandler : public MessageHandler {
  public:
-  Ear(Streams& streams, Guest& guest) : streams_(streams), guest_(guest) {}
+  ConnectionMessageHandler(StreamServer& streams, Connection& guest) : streams_(streams), guest_(guest) {}
 
-  void asked_for_life() override {
+  void on_liveness_request() override {
     std::string alive;
     resp::write(alive, {"alive"});
     if (guest_.out.size() > kMostOut || !streams_.write(guest_, alive))
       throw net::Error("it takes no answer");
   }
-  void proxy_said_hello(ProxyId proxy, ZoneId zone, double rate, bool fresh) override {
+  void on_proxy_hello(ProxyId proxy, ZoneId zone, double rate, bool fresh) override {
     if (const auto old = streams_.joined_.find(proxy); old != streams_.joined_.end()) {
       // Connections are numbered as they come: the proxy has left this one for the other.
       if (old->second > guest_.key) throw net::Error("the proxy has a newer stream");
@@ -51,32 +51,32 @@
       streams_.joined_.erase(old);
       if (key != guest_.key) streams_.end(key);
     }
-    become(Party::proxy);
+    become(PeerRole::proxy);
     guest_.proxy = proxy;
     streams_.joined_[proxy] = guest_.key;
-    streams_.sink_.proxy_joined(proxy, zone, rate, fresh);
+    streams_.sink_.on_proxy_joined(proxy, zone, rate, fresh);
   }
-  void collector_said_hello(ZoneId) override { become(Party::collector); }
-  void replica_summed(const ReplicaSum& sum) override { streams_.sink_.replica_summed(sum); }
-  void demand_summed(ProxyId proxy, const Demand& demand) override {
-    streams_.sink_.demand_summed(proxy, demand);
+  void on_collector_hello(ZoneId) override { become(PeerRole::collector); }
+  void on_replica_load_report(const ReplicaLoadReport& sum) override { streams_.sink_.on_replica_load_report(sum); }
+  void on_demand_report(ProxyId proxy, const DemandReport& demand) override {
+    streams_.sink_.on_demand_report(proxy, demand);
   }
-  void mark_answered(ProxyId proxy, std::uint64_t nonce, Nanos took) override {
-    streams_.sink_.mark_answered(proxy, nonce, took);
+  void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) override {
+    streams_.sink_.on_acknowledgement(proxy, nonce, took);
   }
 
  private:
-  void become(Party party) {
+  void become(PeerRole party) {
     guest_.party = party;
     guest_.reader.set_limits(kOfJoined);
     streams_.strangers_.erase(guest_.key);
   }
 
-  Streams& streams_;
-  Guest& guest_;
+  StreamServer& streams_;
+  Connection& guest_;
 };
 
-Streams::Streams(const net::Address& listen, std::size_t most, Vocabulary vocabulary, StreamSink& sink)
+StreamServer::StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary, StreamEventHandler& sink)
     : most_(most),
       vocabulary_(std::move(vocabulary)),
       sink_(sink),
@@ -85,13 +85,13 @@
   thread_ = net::Thread("streams", [this] { work(); });
 }
 
-void Streams::stop() {
+void StreamServer::stop() {
   stopping_ = true;
   poller_.wake();
   thread_.join();
 }
 
-void Streams::work() {
+void StreamServer::work() {
   while (!stopping_) {
     try {
       turn();
@@ -101,11 +101,11 @@
   }
 }
 
-void Streams::turn() {
+void StreamServer::turn() {
   const auto& ready = poller_.wait(net::Steady::now() + kLook);
   if (accepts_again_ && net::Steady::now() >= *accepts_again_) {
     accepts_again_.reset();
-    poller_.want_news(listener_.get(), kListener, true);
+    poller_.set_read_interest(listener_.get(), kListener, true);
   }
   for (const auto& event : ready) {
     if (event.key == kListener) {
@@ -124,7 +124,7 @@
   write_due();
 }
 
-void Streams::admit() {
+void StreamServer::admit() {
   for (std::size_t n = 0; n < kAdmitAtOnce; ++n) {
     auto accepted = net::accept(listener_, net::Steady::now());
     if (!accepted) {
@@ -133,7 +133,7 @@
       if (n > 0) return;
       make_room();
       accepts_again_ = net::Steady::now() + kLook;
-      poller_.want_news(listener_.get(), kListener, false);
+      poller_.set_read_interest(listener_.get(), kListener, false);
       return;
     }
     if (guests_.size() >= most_) make_room();
@@ -151,7 +151,7 @@
 
 // The oldest stranger gives way. Neither may a flood keep proxies out, nor may whoever has joined be ended
 // for it, nor whoever is about to: its hello may lie ready.
-void Streams::make_room() {
+void StreamServer::make_room() {
   const auto before = guests_.size();
   while (!strangers_.empty() && guests_.size() == before) {
     const auto oldest = *strangers_.begin();
@@ -159,12 +159,12 @@
   }
 }
 
-bool Streams::is_still_strange(std::uint64_t key) {
+bool StreamServer::is_still_strange(std::uint64_t key) {
   hear(guests_.at(key));
   return strangers_.contains(key);
 }
 
-void Streams::hear(Guest& guest) {
+void StreamServer::hear(Connection& guest) {
   std::array<char, 16384> buffer;
   try {
     const auto got = net::read_now(guest.socket, buffer);
@@ -173,7 +173,7 @@
     guest.reader.put({buffer.data(), *got});
     while (understand(guest)) {
     }
-  } catch (const resp::Malformed& error) {
+  } catch (const resp::ProtocolError& error) {
     refuse(guest, error.what());
   } catch (const net::Error&) {
     end(guest.key);
@@ -181,14 +181,14 @@
 }
 
 // One message; false if none is whole, or it was the guest's last.
-bool Streams::understand(Guest& guest) {
+bool StreamServer::understand(Connection& guest) {
   const auto words = guest.reader.next();
   if (!words) return false;
-  Ear ear(*this, guest);
+  ConnectionMessageHandler ear(*this, guest);
   try {
-    read_message(*words, vocabulary_, guest.party, guest.proxy, ear);
-  } catch (const Spoilt& spoilt) {
-    if (guest.party == Party::stranger) {
+    parse_message(*words, vocabulary_, guest.party, guest.proxy, ear);
+  } catch (const MessageError& spoilt) {
+    if (guest.party == PeerRole::stranger) {
       refuse(guest, spoilt.what());
       return false;
     }
@@ -197,8 +197,8 @@
   return true;
 }
 
-void Streams::refuse(Guest& guest, const std::string& why) {
-  if (guest.party == Party::stranger) {
+void StreamServer::refuse(Connection& guest, const std::string& why) {
+  if (guest.party == PeerRole::stranger) {
     std::string error;
     resp::write(error, {"error", "why", why});
     write(guest, error);
@@ -207,7 +207,7 @@
   end(guest.key);
 }
 
-void Streams::end(std::uint64_t key) {
+void StreamServer::end(std::uint64_t key) {
   const auto guest = guests_.find(key);
   if (guest == guests_.end()) return;
   const auto proxy = guest->second.proxy;
@@ -218,10 +218,10 @@
   const auto joined = joined_.find(*proxy);
   if (joined == joined_.end() || joined->second != key) return;
   joined_.erase(joined);
-  sink_.proxy_left(*proxy);
+  sink_.on_proxy_left(*proxy);
 }
 
-void Streams::end_old_strangers() {
+void StreamServer::end_old_strangers() {
   const auto now = net::Steady::now();
   while (!strangers_.empty()) {
     const auto oldest = *strangers_.begin();
@@ -230,7 +230,7 @@
   }
 }
 
-void Streams::write_due() {
+void StreamServer::write_due() {
   for (const auto proxy : sink_.due()) {
     const auto joined = joined_.find(proxy);
     if (joined == joined_.end()) continue;
@@ -241,12 +241,12 @@
   }
 }
 
-bool Streams::write(Guest& guest, std::string_view bytes) {
+bool StreamServer::write(Connection& guest, std::string_view bytes) {
   guest.out += bytes;
   try {
     guest.out.erase(0, net::write_now(guest.socket, guest.out));
     const bool waits = !guest.out.empty();
-    if (waits != guest.waits_for_room) poller_.want_room(guest.socket.get(), guest.key, waits);
+    if (waits != guest.waits_for_room) poller_.set_write_interest(guest.socket.get(), guest.key, waits);
     guest.waits_for_room = waits;
     return true;
   } catch (const net::Error&) {
--- a/src/platform/channel.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -1,4 +1,4 @@
-#include "platform/channel.h"
+#include "platform/table_update_encoder.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -20,7 +20,7 @@
   return short_text;
 }
 
-using Lines = std::vector<book::Line>;  // by ascending replica
+using Lines = std::vector<routing_state::TableEntry>;  // by ascending replica
 
 // What turns the one into the other; weight 0 takes a line out.
 std::vector<std::pair<ReplicaId, double>> differences(const Lines& held, const Lines& wanted) {
@@ -36,33 +36,33 @@
   return found;
 }
 
-const Lines& lines_of(const std::shared_ptr<const book::View>& view) {
+const Lines& lines_of(const std::shared_ptr<const routing_state::RoutingTable>& view) {
   static const Lines none;
   return view ? view->lines : none;
 }
 
-bool have_same_lines(const std::shared_ptr<const book::View>& a, const std::shared_ptr<const book::View>& b) {
+bool have_same_lines(const std::shared_ptr<const routing_state::RoutingTable>& a, const std::shared_ptr<const routing_state::RoutingTable>& b) {
   return a == b || lines_of(a) == lines_of(b);
 }
 
 }  // namespace
 
-Channel::Channel(std::vector<std::string> classes, Retry usual)
+TableUpdateEncoder::TableUpdateEncoder(std::vector<std::string> classes, RetryMode usual)
     : classes_(std::move(classes)), usual_{1, usual} {}
 
-void Channel::joined(ProxyId id) {
+void TableUpdateEncoder::joined(ProxyId id) {
   auto& proxy = proxies_[id];
   proxy = {};
   proxy.written.assign(classes_.size(), Table{false, nullptr, usual_});
   due_.erase(id);
 }
 
-void Channel::left(ProxyId id) {
+void TableUpdateEncoder::left(ProxyId id) {
   proxies_.erase(id);
   due_.erase(id);
 }
 
-void Channel::ordered(ProxyId id, std::shared_ptr<const book::Holding> holding) {
+void TableUpdateEncoder::ordered(ProxyId id, std::shared_ptr<const routing_state::ProxySnapshot> holding) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end() || !holding) return;
   known->second.wanted = std::move(holding);
@@ -70,7 +70,7 @@
   due_.insert(id);
 }
 
-void Channel::out(const std::vector<ReplicaId>& replicas) {
+void TableUpdateEncoder::out(const std::vector<ReplicaId>& replicas) {
   for (auto& [id, proxy] : proxies_) {
     if (proxy.wanted || replicas.empty()) continue;
     for (const auto replica : replicas) {
@@ -81,7 +81,7 @@
   }
 }
 
-void Channel::marked(ProxyId id, MarkId mark, bool alone) {
+void TableUpdateEncoder::marked(ProxyId id, AckRequestId mark, bool alone) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   known->second.marks.push_back(mark);
@@ -90,7 +90,7 @@
 }
 
 // Classes that hold the same and are to hold the same share a part.
-void Channel::settle_lines(Proxy& proxy, std::vector<Part>& parts) const {
+void TableUpdateEncoder::settle_lines(Proxy& proxy, std::vector<Part>& parts) const {
   std::vector<bool> done(classes_.size());
   for (std::size_t k = 0; k < classes_.size(); ++k) {
     const auto view = proxy.wanted->views[k];
@@ -119,7 +119,7 @@
   }
 }
 
-void Channel::settle_terms(Proxy& proxy, std::vector<Part>& parts) const {
+void TableUpdateEncoder::settle_terms(Proxy& proxy, std::vector<Part>& parts) const {
   std::vector<bool> done(classes_.size());
   const auto differs = [&](std::size_t k) {
     return !done[k] && proxy.wanted->views[k] && proxy.wanted->views[k]->terms[k] != proxy.written[k].terms;
@@ -142,7 +142,7 @@
   }
 }
 
-std::string Channel::routes(const std::vector<std::size_t>& classes) const {
+std::string TableUpdateEncoder::routes(const std::vector<std::size_t>& classes) const {
   std::string names;
   for (const auto k : classes) {
     if (!names.empty()) names += '+';
@@ -151,7 +151,7 @@
   return names;
 }
 
-Channel::Message Channel::next(ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
+TableUpdateEncoder::Message TableUpdateEncoder::next(ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
   Message message;
   due_.erase(id);
   const auto known = proxies_.find(id);
@@ -219,8 +219,8 @@
   return message;
 }
 
-std::vector<MarkId> Channel::answered(ProxyId id, std::uint64_t nonce) {
-  std::vector<MarkId> settled;
+std::vector<AckRequestId> TableUpdateEncoder::answered(ProxyId id, std::uint64_t nonce) {
+  std::vector<AckRequestId> settled;
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return settled;
   auto& asked = known->second.asked;
@@ -232,9 +232,9 @@
   return settled;
 }
 
-std::vector<ReplicaId> Channel::unheld(const std::vector<ReplicaId>& replicas) const {
+std::vector<ReplicaId> TableUpdateEncoder::unheld(const std::vector<ReplicaId>& replicas) const {
   if (replicas.empty()) return {};
-  std::set<const book::View*> views;
+  std::set<const routing_state::RoutingTable*> views;
   for (const auto& [id, proxy] : proxies_) {
     for (const auto& table : proxy.written) views.insert(table.view.get());
     if (!proxy.wanted) continue;
@@ -243,10 +243,10 @@
   views.erase(nullptr);
   std::vector<ReplicaId> found;
   for (const auto replica : replicas) {
-    const bool held = std::any_of(views.begin(), views.end(), [&](const book::View* view) {
+    const bool held = std::any_of(views.begin(), views.end(), [&](const routing_state::RoutingTable* view) {
       const auto line =
           std::lower_bound(view->lines.begin(), view->lines.end(), replica,
-                           [](const book::Line& one, ReplicaId id) { return one.replica < id; });
+                           [](const routing_state::TableEntry& one, ReplicaId id) { return one.replica < id; });
       return line != view->lines.end() && line->replica == replica;
     });
     if (!held) found.push_back(replica);
--- a/src/platform/channel.h
+++ b/src/platform/table_update_encoder.h
@@ -15,25 +15,25 @@
 #include <utility>
 #include <vector>
 
-#include "book/version.h"
+#include "routing_state/routing_snapshot.h"
 
 namespace ospreypost::platform {
 
-class Channel {
+class TableUpdateEncoder {
  public:
   // Names of classes in the order of the settings; `usual`: how a proxy that was told nothing tries again.
-  Channel(std::vector<std::string> classes, Retry usual);
+  TableUpdateEncoder(std::vector<std::string> classes, RetryMode usual);
 
   // A new stream: whatever was written on another counts for nothing.
   void joined(ProxyId proxy);
   void left(ProxyId proxy);
   // What the proxy is to hold from now on.
-  void ordered(ProxyId proxy, std::shared_ptr<const book::Holding> holding);
+  void ordered(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> holding);
   // Joined proxies without tables of ours are to drop these lines from what they brought along.
   void out(const std::vector<ReplicaId>& replicas);
   // The proxy is to answer once it has applied all that stands now. `alone`: also if there is nothing else to
   // write to it.
-  void marked(ProxyId proxy, MarkId mark, bool alone);
+  void marked(ProxyId proxy, AckRequestId mark, bool alone);
 
   // Whom there is something to write to.
   const std::set<ProxyId>& due() const { return due_; }
@@ -46,7 +46,7 @@
   Message next(ProxyId proxy, const std::function<std::string_view(ReplicaId)>& name_of);
 
   // The marks that the answer to `nonce` settles, that of earlier messages included.
-  std::vector<MarkId> answered(ProxyId proxy, std::uint64_t nonce);
+  std::vector<AckRequestId> answered(ProxyId proxy, std::uint64_t nonce);
   // Those of which no proxy may still hold a line.
   std::vector<ReplicaId> unheld(const std::vector<ReplicaId>& replicas) const;
 
@@ -54,30 +54,30 @@
   // Views are shared by all proxies that hold the same, so a table written costs no copy of its lines.
   struct Table {
     bool ours = false;  // else it is what the proxy brought along
-    std::shared_ptr<const book::View> view;
-    book::Terms terms;
+    std::shared_ptr<const routing_state::RoutingTable> view;
+    routing_state::TrafficPolicy terms;
   };
   struct Proxy {
     std::vector<Table> written;  // by class
-    std::shared_ptr<const book::Holding> wanted;
+    std::shared_ptr<const routing_state::ProxySnapshot> wanted;
     std::vector<ReplicaId> shed;  // lines to drop from what it brought along
-    std::vector<MarkId> marks;    // to be asked for
+    std::vector<AckRequestId> marks;    // to be asked for
     bool asks_alone = false;      // for one of them a message is written that has nothing else
-    std::vector<std::pair<std::uint64_t, std::vector<MarkId>>> asked;
+    std::vector<std::pair<std::uint64_t, std::vector<AckRequestId>>> asked;
   };
   // A push to some classes; what is empty is not written.
   struct Part {
     std::vector<std::size_t> classes;
     bool full = false;
     std::vector<std::pair<ReplicaId, double>> lines;
-    const book::Terms* terms = nullptr;
+    const routing_state::TrafficPolicy* terms = nullptr;
   };
   void settle_lines(Proxy& proxy, std::vector<Part>& parts) const;
   void settle_terms(Proxy& proxy, std::vector<Part>& parts) const;
   std::string routes(const std::vector<std::size_t>& classes) const;
 
   const std::vector<std::string> classes_;
-  const book::Terms usual_;
+  const routing_state::TrafficPolicy usual_;
   std::map<ProxyId, Proxy> proxies_;
   std::set<ProxyId> due_;
   std::uint64_t last_nonce_ = 0;
--- a/src/rules.cpp
+++ b/src/policy/controller.cpp
@@ -5,7 +5,7 @@
 // composes the tables and publishes what differs. What must not wait (drains, trips, a proxy without a table)
 // goes at once.
 
-#include "rules.h"
+#include "policy/controller.h"
 
 #include <algorithm>
 #include <cmath>
@@ -96,16 +96,16 @@
 enum class Breaker { closed, open, half_open };
 
 struct Evidence {
-  DecayingSum tries{kEvidenceHalfLife}, failed{tries}, time{tries}, timed{tries}, load{tries}, loads{tries};
+  DecayingSum attempts{kEvidenceHalfLife}, failed{attempts}, time{attempts}, timed{attempts}, load{attempts}, loads{attempts};
   double sound_tries = 0;  // since the return
 };
 
 struct Replica {
   std::size_t zone = 0, block = 0;  // of the zone's blocks
-  KindId kind{};
+  HardwareKindId kind{};
   CellId cell{};
   double listed = 1;
-  Phase phase = Phase::gone;
+  EndpointPhase phase = EndpointPhase::gone;
   bool doubted = false;  // the list dropped it, and may be wrong
   std::optional<Nanos> started;
 
@@ -133,9 +133,9 @@
 // Classes that may go to the same replicas share a table in each subset.
 struct Group {
   ClassMask classes = 0;
-  bool home_only = false;
+  bool same_zone_only = false;
   std::vector<ZoneId> zones;
-  std::vector<KindId> kinds;
+  std::vector<HardwareKindId> kinds;
   Row demand;  // by zone of the proxies
 };
 
@@ -152,23 +152,23 @@
 
 }  // namespace
 
-struct Governor::State {
-  Host& host;
+struct Controller::State {
+  ActionSink& host;
   std::mt19937 chance;
   const bool tables_are_ours;  // without slices
   const std::size_t zones;
   const Nanos round_every;
   const Nanos message_gap;  // to one proxy, so that no window ever holds too many
-  const Nanos publish_every, message_time;
+  const Nanos publish_every, message_delay;
   const double lines_per_second, most_waiting, stated_head;
-  const double all_proxies, own_proxies, connections_least;
+  const double all_proxies, own_proxies, min_replica_connections;
   const bool by_zone;  // proxies go to a governor of their zone, and there are others
   const bool gone_binds;
   const bool choosy;  // proxies pick the less busy of two
   const double local_slack;
-  const double cold_share;
-  const Nanos cold_time;
-  const double fall_multiple;
+  const double initial_warm_up_capacity;
+  const Nanos warm_up_duration;
+  const double overload_multiple;
   const bool falls_cold;  // one can be overloaded for so long before it is warm
   const bool may_shed;
   Row class_work, class_payoff;
@@ -197,7 +197,7 @@
   double pressure = 0, mean_load = -1, used = 0, uneven = 0;  // the last one of the proxies of a zone
   Row works;                                                  // demand by zone, of all groups
 
-  Retry retry = Retry::after_proof, ordered_retry = retry;  // no effect allows more at every class
+  RetryMode retry = RetryMode::after_rejection_proof, ordered_retry = retry;  // no effect allows more at every class
   double let_in = 1;                                        // of the work asked for
   Row levels;                                               // as ordered, by class
   Nanos next_publish{}, channel_at{}, asked_at{};
@@ -207,7 +207,7 @@
   struct Asked {
     double from = 0, lines = 0, messages = 0, answers = 0;  // lines ordered before it and with it
   };
-  std::map<MarkId, Asked> asked;
+  std::map<AckRequestId, Asked> asked;
   std::uint64_t last_mark = 0;
   double messages = 0;    // that the next mark goes with
   bool answered = false;  // ever, by anybody
@@ -215,61 +215,61 @@
   unsigned rounds = 0;
   int list_failures = 0;
 
-  State(const Settings& s, std::uint64_t seed, Nanos now, Host& to)
+  State(const Settings& s, std::uint64_t seed, Nanos now, ActionSink& to)
       : host(to),
         chance(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
         tables_are_ours(s.slices == 0),
         zones(std::max<std::size_t>(s.zones, 1)),
-        round_every(std::max<Nanos>(s.report_every / 2, 100ms)),
+        round_every(std::max<Nanos>(s.report_interval / 2, 100ms)),
         // Three less than allowed: a proxy may join or move between two writings of its subsets.
-        message_gap(s.messages_allowed == 0
+        message_gap(s.max_messages_per_window == 0
                         ? Nanos{}
-                        : nanos(seconds(s.messages_window) /
-                                std::max(1.0, static_cast<double>(s.messages_allowed) - 3))),
-        publish_every(std::max<Nanos>(s.report_every, 3 * message_gap / 2)),
-        message_time(s.message_time),
-        lines_per_second(std::max(1.0, s.channel_lines_per_second * kChannelShare)),
-        most_waiting(s.channel_most_waiting),
-        stated_head(s.message_head_lines),
+                        : nanos(seconds(s.message_window) /
+                                std::max(1.0, static_cast<double>(s.max_messages_per_window) - 3))),
+        publish_every(std::max<Nanos>(s.report_interval, 3 * message_gap / 2)),
+        message_delay(s.message_delay),
+        lines_per_second(std::max(1.0, s.channel_entries_per_second * kChannelShare)),
+        most_waiting(s.channel_max_queued_entries),
+        stated_head(s.message_overhead_entries),
         all_proxies(std::max(1.0, static_cast<double>(s.proxies))),
         own_proxies(all_proxies / std::max(1.0, static_cast<double>(s.governors))),
-        connections_least(s.connections_least),
+        min_replica_connections(s.min_replica_connections),
         by_zone(s.proxies_by_zone && s.governors > 1),
-        gone_binds(!s.only_draining_binds),
-        choosy(s.picking == Picking::two),
+        gone_binds(!s.only_draining_is_binding),
+        choosy(s.picking == PickingPolicy::two),
         local_slack(choosy ? kChoosyLocalSlack : kLocalSlack),
-        cold_share(std::clamp(s.cold_share, 0.01, 1.0)),
-        cold_time(std::max<Nanos>(s.cold_time, 1ms)),
-        fall_multiple(s.fall_multiple),
-        falls_cold(s.cold_time > s.fall_time),
-        may_shed(s.admission == Admission::share && s.slices == 0),
+        initial_warm_up_capacity(std::clamp(s.initial_warm_up_capacity, 0.01, 1.0)),
+        warm_up_duration(std::max<Nanos>(s.warm_up_duration, 1ms)),
+        overload_multiple(s.overload_multiple),
+        falls_cold(s.warm_up_duration > s.overload_duration),
+        may_shed(s.admission == AdmissionMode::share && s.slices == 0),
         class_demand(s.classes.size(), DecayingSum{kDemandHalfLife}),
         at(now),
         levels(s.classes.size(), 1.0) {
     for (const auto& cls : s.classes) {
       // Nobody tells the work of a class; those who ask allow more time for what takes longer.
-      class_work.push_back(std::max(1e-3, seconds(cls.target_time)));
-      class_payoff.push_back(cls.payoff / class_work.back());
+      class_work.push_back(std::max(1e-3, seconds(cls.latency_objective)));
+      class_payoff.push_back(cls.priority_weight / class_work.back());
       const auto group = std::find_if(groups.begin(), groups.end(), [&](const Group& g) {
-        return g.home_only == cls.home_only && g.zones == cls.only_zones && g.kinds == cls.only_kinds;
+        return g.same_zone_only == cls.same_zone_only && g.zones == cls.allowed_zones && g.kinds == cls.allowed_kinds;
       });
       class_group.push_back(static_cast<std::size_t>(group - groups.begin()));
       if (group == groups.end()) {
-        groups.push_back({0, cls.home_only, cls.only_zones, cls.only_kinds, Row(zones)});
+        groups.push_back({0, cls.same_zone_only, cls.allowed_zones, cls.allowed_kinds, Row(zones)});
       }
       auto& of = groups[class_group.back()];
       of.classes = static_cast<ClassMask>(of.classes | (1u << (class_work.size() - 1)));
     }
-    for (const auto wanted : {LoadColumn::util, LoadColumn::inflight, LoadColumn::queue}) {
+    for (const auto wanted : {LoadMetric::util, LoadMetric::inflight, LoadMetric::queue}) {
       const auto column = std::find(s.load_columns.begin(), s.load_columns.end(), wanted);
-      if (load_column || column == s.load_columns.end() || s.reporting == Reporting::none) continue;
+      if (load_column || column == s.load_columns.end() || s.reporting == ReportingMode::none) continue;
       load_column = static_cast<std::size_t>(column - s.load_columns.begin());
-      load_is_per_size = wanted != LoadColumn::util;
+      load_is_per_size = wanted != LoadMetric::util;
     }
-    probes_for_load = s.reporting == Reporting::by_probe && s.may_probe && load_column;
-    if (s.reporting == Reporting::by_probe && !s.may_probe) load_column.reset();
-    if (s.list_by_asking) host.watch_list(true);
-    host.arm(round_every, kRoundTimer);
+    probes_for_load = s.reporting == ReportingMode::by_health_check && s.health_checks_allowed && load_column;
+    if (s.reporting == ReportingMode::by_health_check && !s.health_checks_allowed) load_column.reset();
+    if (s.poll_endpoint_list) host.watch_endpoint_list(true);
+    host.start_timer(round_every, kRoundTimer);
   }
 
   // --- What is known
@@ -288,11 +288,11 @@
   std::size_t zone_of(ZoneId id) const { return std::min(static_cast<std::size_t>(id), zones - 1); }
 
   bool serves(const Replica& replica) const {
-    return replica.phase == Phase::ready && replica.breaker != Breaker::open &&
+    return replica.phase == EndpointPhase::ready && replica.breaker != Breaker::open &&
            !(jams[replica.zone] && cold(replica));
   }
 
-  bool cold(const Replica& replica) const { return replica.started && at < *replica.started + cold_time; }
+  bool cold(const Replica& replica) const { return replica.started && at < *replica.started + warm_up_duration; }
 
   // Mean load as reported, by size where it is a count; -1 where none came.
   double raw_load(const Replica& replica) const {
@@ -301,7 +301,7 @@
     return replica.evidence.load.read(beat) / reports / (load_is_per_size ? replica.listed : 1);
   }
 
-  double mean_time(const Replica& replica, double least) const {
+  double mean_latency(const Replica& replica, double least) const {
     const double timed = replica.evidence.timed.read(beat);
     return timed < least ? -1 : replica.evidence.time.read(beat) / timed;
   }
@@ -315,16 +315,16 @@
     }
     const double target = work / operations;
     all_tries = all_failed = ready = out = 0, serving = 1e-9;
-    Row tries(zones, 1.0), good(zones, 1.0), crowds;
+    Row attempts(zones, 1.0), good(zones, 1.0), crowds;
     for (auto& subset : subsets) subset.capacity = 0;
     for (const auto& [id, replica] : replicas) {
-      if (replica.phase == Phase::ready) ready += replica.listed;
-      if (replica.phase == Phase::ready && replica.breaker == Breaker::open) out += replica.listed;
+      if (replica.phase == EndpointPhase::ready) ready += replica.listed;
+      if (replica.phase == EndpointPhase::ready && replica.breaker == Breaker::open) out += replica.listed;
       if (!serves(replica)) continue;
-      const double met = replica.evidence.tries.read(beat), failed = replica.evidence.failed.read(beat);
-      const double late = mean_time(replica, 0.5) / (kCrowdedTime * target), load = raw_load(replica);
+      const double met = replica.evidence.attempts.read(beat), failed = replica.evidence.failed.read(beat);
+      const double late = mean_latency(replica, 0.5) / (kCrowdedTime * target), load = raw_load(replica);
       all_tries += met, all_failed += failed, serving += 1;
-      tries[replica.zone] += met, good[replica.zone] += met - failed;
+      attempts[replica.zone] += met, good[replica.zone] += met - failed;
       // As used a round ago: while replicas have room, failures are a cut's or a sickness's, but lateness a
       // jam's.
       const double room = used > 0 ? used / kFullEnough : 1;
@@ -339,10 +339,10 @@
     used = load_is_per_size ? 0 : uses / size;
     for (std::size_t z = 0; z < zones; ++z) {
       // Where zones keep to themselves one may jam alone.
-      repeats[z] = tries[z] / good[z];
+      repeats[z] = attempts[z] / good[z];
       // Guards cold replicas against a jam: proxies shun what failed them and come down on the newest line,
       // so no weight is small enough. What is cold stays out until the jam is over or it is warm.
-      const double jam = (repeats[z] - 1) / (fall_multiple - 1);
+      const double jam = (repeats[z] - 1) / (overload_multiple - 1);
       const bool held = jam > (jams[z] ? kReleaseRepeats : kHoldRepeats);
       if (held != jams[z])
         host.log((held ? "hold cold in zone " : "release cold in zone ") + std::to_string(z));
@@ -382,7 +382,7 @@
 
   void trip(ReplicaId id, Replica& replica) {
     hurry = true;
-    if (replica.doubted) replica.phase = Phase::gone;
+    if (replica.doubted) replica.phase = EndpointPhase::gone;
     // A replica that fails soon after it closed has not recovered: its cooldown goes on doubling.
     const bool repeat = replica.breaker == Breaker::half_open || at < replica.proven_until;
     replica.cooldown = repeat ? std::min(2 * replica.cooldown, kCooldownCap) : kCooldown;
@@ -399,7 +399,7 @@
     replica.anchored.reset();
     // Sums that reach us now were counted before the change that we answer them for.
     replica.evidence = {};
-    replica.evidence_from = at + nanos(pace()) + message_time;
+    replica.evidence_from = at + nanos(pace()) + message_delay;
     host.log("half-open " + name(id));
   }
 
@@ -414,18 +414,18 @@
     // A replica that is only full reports so and does some tries well; one that is sick is idle or dumb.
     const double full_load = std::max(mean_load, load_is_per_size ? 0 : kFullEnough);
     for (auto& [id, replica] : replicas) {
-      if (replica.phase != Phase::ready) continue;
+      if (replica.phase != EndpointPhase::ready) continue;
       if (replica.breaker == Breaker::open) {
         if (at >= replica.reopens) half_open(id, replica);
         continue;
       }
-      const double tries = replica.evidence.tries.read(beat), failed = replica.evidence.failed.read(beat);
+      const double attempts = replica.evidence.attempts.read(beat), failed = replica.evidence.failed.read(beat);
       // Against overload looking like sickness: what fails everywhere is no replica's own fault.
-      const double others = (all_failed - failed) / std::max(1.0, all_tries - tries);
+      const double others = (all_failed - failed) / std::max(1.0, all_tries - attempts);
       const bool half = replica.breaker == Breaker::half_open;
-      const bool full = raw_load(replica) >= full_load && tries - failed > kAlive * tries;
+      const bool full = raw_load(replica) >= full_load && attempts - failed > kAlive * attempts;
       const double enough = half || replica.doubted ? kRetripFailures : failures_enough(others);
-      const bool failing = failed > tries * (kTripShare + others) && !full && failed >= enough;
+      const bool failing = failed > attempts * (kTripShare + others) && !full && failed >= enough;
       // Against many trips at once when all are slow together: what is left would be crushed.
       if (failing && (replica.doubted || out + replica.listed <= kMostOut * ready)) trip(id, replica);
       if (!half || failing) continue;
@@ -450,9 +450,9 @@
     // warm. Not while too much is asked of all, if that can push it over: proxies come down on the newest
     // line.
     if (replica.fresh && (pressure <= 1 || !falls_cold))
-      part = std::max(part, kFloor + (1 - kFloor) * seconds(at - *replica.fresh) / seconds(cold_time));
-    const double age = cold(replica) ? std::max(0.0, seconds(at - *replica.started) / seconds(cold_time)) : 1;
-    return std::min({1.0, part, cold_share + (1 - cold_share) * age});
+      part = std::max(part, kFloor + (1 - kFloor) * seconds(at - *replica.fresh) / seconds(warm_up_duration));
+    const double age = cold(replica) ? std::max(0.0, seconds(at - *replica.started) / seconds(warm_up_duration)) : 1;
+    return std::min({1.0, part, initial_warm_up_capacity + (1 - initial_warm_up_capacity) * age});
   }
 
   double weight_of(const Replica& replica) const { return replica.listed * replica.step * share(replica); }
@@ -463,7 +463,7 @@
   void admit() {
     if (rounds % 2 != 0) return;
     const double most = *std::max_element(repeats.begin(), repeats.end());
-    retry = most > kJamRepeats ? Retry::none : Retry::after_proof;
+    retry = most > kJamRepeats ? RetryMode::none : RetryMode::after_rejection_proof;
     let_in = pressure > 1 ? let_in * (1 - kShedMost * std::min(1.0, pressure - 1))
                           : let_in + kShedEase * (1 - std::max(0.0, pressure));
     let_in = may_shed ? std::clamp(let_in, kLeastLetIn, 1.0) : 1.0;
@@ -488,7 +488,7 @@
   }
 
   double load_of(const Replica& replica) const {
-    const double time = mean_time(replica, 0.2), load = raw_load(replica);
+    const double time = mean_latency(replica, 0.2), load = raw_load(replica);
     if (!load_column) return time;
     // Use stops at full while a queue goes on growing; only the time tells then which has the longer one.
     return load < 0 || load_is_per_size || time <= 0 ? load : load * std::sqrt(time);
@@ -498,7 +498,7 @@
     if (rounds % kStepRounds != 0) return;
     double all = 0, count = 0;
     const auto steps = [&](const Replica& replica) {
-      return replica.phase == Phase::ready && replica.breaker == Breaker::closed && load_of(replica) >= 0;
+      return replica.phase == EndpointPhase::ready && replica.breaker == Breaker::closed && load_of(replica) >= 0;
     };
     for (const auto& [id, replica] : replicas) {
       if (steps(replica)) all += load_of(replica), count += 1;
@@ -522,7 +522,7 @@
     const auto has = [](const auto& list, auto id) {
       return list.empty() || std::find(list.begin(), list.end(), id) != list.end();
     };
-    if (group.home_only && replica.zone != zone) return false;
+    if (group.same_zone_only && replica.zone != zone) return false;
     return has(group.zones, static_cast<ZoneId>(replica.zone)) && has(group.kinds, replica.kind);
   }
 
@@ -532,10 +532,10 @@
   void lay_subsets() {
     if (!subsets.empty() || replicas.empty() || !tables_are_ours) return;
     Row count(zones);
-    for (const auto& [id, replica] : replicas) count[replica.zone] += replica.phase != Phase::gone;
+    for (const auto& [id, replica] : replicas) count[replica.zone] += replica.phase != EndpointPhase::gone;
     const double sent = (lines_per_second * seconds(kLaySpan) / own_proxies - head) / groups.size();
-    const double open = kOpenConnections * connections_least * sum(count) / all_proxies;
-    const double most = std::max(kLeastSubset, connections_least > 0 ? std::min(sent, open) : sent);
+    const double open = kOpenConnections * min_replica_connections * sum(count) / all_proxies;
+    const double most = std::max(kLeastSubset, min_replica_connections > 0 ? std::min(sent, open) : sent);
     for (std::size_t z = 0; z < zones; ++z) {
       blocks[z] = static_cast<std::size_t>(std::max(1.0, std::round(count[z] / most)));
       first_of[z] = subsets.size();
@@ -551,7 +551,7 @@
   void deal(Replica& replica) {
     Row taken(blocks[replica.zone]);
     for (const auto& [id, other] : replicas) {
-      const bool mate = &other != &replica && other.zone == replica.zone && other.phase != Phase::gone;
+      const bool mate = &other != &replica && other.zone == replica.zone && other.phase != EndpointPhase::gone;
       if (!mate || other.block >= taken.size()) continue;
       taken[other.block] += 1 + (other.cell == replica.cell) + 0.5 * (other.kind == replica.kind);
     }
@@ -581,7 +581,7 @@
     for (std::size_t turn = 0; turn < zones * groups.size(); ++turn) {
       const auto g = turn % groups.size();
       const auto& group = groups[g];
-      const auto choice = group.home_only ? 1 : group.zones.empty() ? zones : group.zones.size();
+      const auto choice = group.same_zone_only ? 1 : group.zones.empty() ? zones : group.zones.size();
       if (std::min(choice, zones) != turn / groups.size() + 1) continue;
       const auto usable = usable_by(group);
       Row keeps(zones), spare(zones);
@@ -600,7 +600,7 @@
       for (std::size_t zone = 0; zone < zones; ++zone) {
         auto part = spare;
         for (std::size_t to = 0; to < zones; ++to) {
-          if (group.home_only && to != zone) part[to] = 0;
+          if (group.same_zone_only && to != zone) part[to] = 0;
         }
         const double demand = std::max(1e-9, group.demand[zone]), over = demand - keeps[zone];
         const double parts = sum(part),
@@ -670,9 +670,9 @@
     const bool matters = !answered || waiting() > kAskShare * most_waiting;
     if ((asked.empty() || asked_at != at) && matters) {
       if (asked.size() >= kMostAsked) asked.erase(asked.begin());
-      asked[MarkId{++last_mark}].from = marked;
+      asked[AckRequestId{++last_mark}].from = marked;
       asked_at = at;
-      host.mark(MarkId{last_mark}, false);
+      host.request_acknowledgement(AckRequestId{last_mark}, false);
     }
     if (!asked.empty() && asked_at == at) {
       asked.rbegin()->second.lines += ordered - marked;
@@ -682,7 +682,7 @@
   }
 
   // Messages leave in order: an answer shows that all earlier ones left, and its part of its own.
-  void confirm(MarkId mark) {
+  void confirm(AckRequestId mark) {
     const auto known = asked.find(mark);
     if (known == asked.end()) return;
     auto& [from, lines, carriers, answers] = known->second;
@@ -769,7 +769,7 @@
       for (const auto& [id, weight] : held) {
         // A withdrawn replica may keep its line for its return, unless it is gone for good.
         const auto& replica = replicas.at(id);
-        const bool returns = replica.breaker == Breaker::open && replica.phase == Phase::ready;
+        const bool returns = replica.breaker == Breaker::open && replica.phase == EndpointPhase::ready;
         if (!want.contains(id) && !returns) changes.push_back({0.0, g, id, 0.0});
       }
     }
@@ -790,11 +790,11 @@
       const auto held = holders(id);
       replica.withdrawn = fits(reply, held, 1, true);
       // What drains or is gone for good leaves the tables in one go, and so never costs a second line.
-      for (std::size_t t = 0; t < held.size() * groups.size() && replica.phase != Phase::ready; ++t) {
+      for (std::size_t t = 0; t < held.size() * groups.size() && replica.phase != EndpointPhase::ready; ++t) {
         const auto s = held[t / groups.size()], g = t % groups.size();
-        if (replica.withdrawn && subsets[s].standing[g].erase(id) > 0) host.set_line(table_id(s, g), id, 0);
+        if (replica.withdrawn && subsets[s].standing[g].erase(id) > 0) host.set_table_entry(table_id(s, g), id, 0);
       }
-      if (replica.withdrawn) host.withdraw(id, true);
+      if (replica.withdrawn) host.set_ejected(id, true);
       // No later order may take the next message of those that wait for this one.
       for (const auto s : held) reply.kept[s] = reply.kept[s] || !replica.withdrawn;
       hurry = hurry || !replica.withdrawn;
@@ -828,7 +828,7 @@
         if (!sent || i >= fitting) {
           unsent.insert(id);
         } else {
-          host.set_line(table_id(s, group), id, weight);
+          host.set_table_entry(table_id(s, group), id, weight);
           weight > 0 ? void(held[id] = weight) : void(held.erase(id));
         }
       }
@@ -838,7 +838,7 @@
       // The line that it had before its trip must not be let in again.
       if (!replica.withdrawn || !serves(replica) || unsent.contains(id)) continue;
       if (!fits(reply, holders(id), 1, true)) continue;
-      host.withdraw(id, false);
+      host.set_ejected(id, false);
       replica.withdrawn = false;
     }
     for (std::size_t s = 0; s < subsets.size(); ++s) {
@@ -859,7 +859,7 @@
     if (changed.empty() || !fits(reply, everyone, static_cast<double>(changed.size()), true)) return;
     for (const auto k : changed) {
       levels[k] = wanted[k];
-      host.set_level(kEveryTable, static_cast<ClassMask>(1u << k), levels[k], retry);
+      host.set_admitted_fraction(kAllTables, static_cast<ClassMask>(1u << k), levels[k], retry);
     }
     ordered_retry = retry;
     head = stated_head + 1 + static_cast<double>(levels.size());  // every later message carries them
@@ -927,7 +927,7 @@
         std::pair<const ReplicaId, Replica>* first = nullptr;
         bool served = false;
         for (auto& entry : replicas) {
-          if (entry.second.phase != Phase::ready || !open_to(group, zone, entry.second)) continue;
+          if (entry.second.phase != EndpointPhase::ready || !open_to(group, zone, entry.second)) continue;
           served = served || serves(entry.second);
           if (!first || entry.second.reopens < first->second.reopens) first = &entry;
         }
@@ -946,21 +946,21 @@
   void forget() {
     for (auto entry = replicas.begin(); entry != replicas.end();) {
       const auto& [id, replica] = *entry;
-      if (replica.phase != Phase::gone) entry->second.listed_at = at;
+      if (replica.phase != EndpointPhase::gone) entry->second.listed_at = at;
       const bool past = replica.withdrawn && at > replica.listed_at + kRemembered;
       const bool held = past && (unbound() > 0 || !holders(id).empty());
-      if (past && !held) host.withdraw(id, false);
+      if (past && !held) host.set_ejected(id, false);
       entry = past && !held ? replicas.erase(entry) : std::next(entry);
     }
   }
 
   void round() {
-    host.arm(round_every, kRoundTimer);
+    host.start_timer(round_every, kRoundTimer);
     forget();
     ++rounds;
     for (const auto& [id, replica] : replicas) {
       const bool its_turn = (static_cast<std::uint32_t>(id) + rounds) % kProbeRounds == 0;
-      if (its_turn && probes_for_load && serves(replica)) host.probe(id);
+      if (its_turn && probes_for_load && serves(replica)) host.request_health_check(id);
     }
     survey();
     judge();
@@ -977,20 +977,20 @@
   // doubted, and what it dropped serves on until its own tries fail.
   void drop(const std::vector<Replica*>& dropped) {
     double listed = 0, lost = 0;
-    for (const auto& [id, replica] : replicas) listed += replica.phase == Phase::ready;
-    for (const auto* replica : dropped) lost += replica->phase == Phase::ready && !replica->doubted;
+    for (const auto& [id, replica] : replicas) listed += replica.phase == EndpointPhase::ready;
+    for (const auto* replica : dropped) lost += replica->phase == EndpointPhase::ready && !replica->doubted;
     const bool doubt = !gone_binds && lost > kMostOut * listed;
     if (doubt) host.log("doubt the list: " + std::to_string(static_cast<int>(lost)) + " dropped");
     for (auto* replica : dropped) {
-      replica->doubted = replica->doubted || (doubt && replica->phase == Phase::ready);
-      if (!replica->doubted) replica->phase = Phase::gone, hurry = true;
+      replica->doubted = replica->doubted || (doubt && replica->phase == EndpointPhase::ready);
+      if (!replica->doubted) replica->phase = EndpointPhase::gone, hurry = true;
     }
   }
 
-  void take_entry(const ListEntry& entry, bool at_start) {
+  void take_entry(const EndpointUpdate& entry, bool at_start) {
     const bool known = replicas.contains(entry.replica);
     auto& replica = replicas[entry.replica];
-    const bool was_ready = known && replica.phase == Phase::ready;
+    const bool was_ready = known && replica.phase == EndpointPhase::ready;
     const bool restarted = known && entry.started && replica.started != entry.started;
     const bool elsewhere = !known || replica.zone != zone_of(entry.zone);
     replica.zone = zone_of(entry.zone);
@@ -1001,8 +1001,8 @@
     replica.doubted = false;
     replica.started = entry.started;
     if (elsewhere) deal(replica);
-    hurry = hurry || (was_ready && entry.phase != Phase::ready);
-    if (entry.phase != Phase::ready) return;
+    hurry = hurry || (was_ready && entry.phase != EndpointPhase::ready);
+    if (entry.phase != EndpointPhase::ready) return;
     // Listed at the start means closed, but what started a moment ago is cold whatever the breaker says.
     if (at_start ? !cold(replica) : was_ready && !restarted) return;
     replica.step = 1;
@@ -1013,46 +1013,46 @@
 
 // --- Events
 
-Governor::Governor(const Settings& settings, std::uint64_t seed, Nanos now, Host& host)
+Controller::Controller(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host)
     : state_(std::make_unique<State>(settings, seed, now, host)) {}
-Governor::~Governor() = default;
-Governor::Governor(Governor&&) noexcept = default;
-Governor& Governor::operator=(Governor&&) noexcept = default;
+Controller::~Controller() = default;
+Controller::Controller(Controller&&) noexcept = default;
+Controller& Controller::operator=(Controller&&) noexcept = default;
 
-void Governor::list_received(Nanos now, ListKind kind, const std::vector<ListEntry>& entries) {
+void Controller::on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries) {
   auto& s = *state_;
   s.tick(now);
   s.list_failures = 0;
   std::set<ReplicaId> named;  // in a list of changes those that are gone, else those that are not
   for (const auto& entry : entries) {
-    if ((entry.phase == Phase::gone) == (kind == ListKind::changes)) named.insert(entry.replica);
-    if (entry.phase != Phase::gone) s.take_entry(entry, kind == ListKind::cached);
+    if ((entry.phase == EndpointPhase::gone) == (kind == EndpointListKind::changes)) named.insert(entry.replica);
+    if (entry.phase != EndpointPhase::gone) s.take_entry(entry, kind == EndpointListKind::cached);
   }
   std::vector<Replica*> dropped;
   for (auto& [id, replica] : s.replicas) {
-    if (replica.phase != Phase::gone && named.contains(id) == (kind == ListKind::changes))
+    if (replica.phase != EndpointPhase::gone && named.contains(id) == (kind == EndpointListKind::changes))
       dropped.push_back(&replica);
   }
   s.drop(dropped);
   s.lay_subsets();
   s.survey();
   s.keep_served();
-  if (s.hurry || kind == ListKind::cached) s.publish();
+  if (s.hurry || kind == EndpointListKind::cached) s.publish();
   s.ask();
 }
 
-void Governor::list_failed(Nanos) {
+void Controller::on_endpoint_list_failed(Nanos) {
   auto& s = *state_;
   // Against every asker coming back at the same moment to a list that is already too busy.
   s.list_failures = std::min(s.list_failures + 1, 3);
   std::uniform_real_distribution<double> spread(0.3, 1.0);
-  s.host.arm(nanos(0.5 * (1 << s.list_failures) * spread(s.chance)), kWatchTimer);
+  s.host.start_timer(nanos(0.5 * (1 << s.list_failures) * spread(s.chance)), kWatchTimer);
 }
 
-void Governor::proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second, bool) {
+void Controller::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second, bool) {
   auto& s = *state_;
   s.tick(now);
-  proxy_left(now, proxy);
+  on_proxy_left(now, proxy);
   auto& joined = s.proxies[proxy];
   joined.zone = s.zone_of(zone);
   joined.demand.assign(s.groups.size(), DecayingSum{kDemandHalfLife});
@@ -1065,7 +1065,7 @@
   s.ask();
 }
 
-void Governor::proxy_left(Nanos, ProxyId proxy) {
+void Controller::on_proxy_left(Nanos, ProxyId proxy) {
   auto& s = *state_;
   const auto known = s.proxies.find(proxy);
   if (known == s.proxies.end()) return;
@@ -1075,27 +1075,27 @@
   if (s.proxies.empty()) s.left = s.ordered;
 }
 
-void Governor::replica_summed(Nanos now, const ReplicaSum& sum) {
+void Controller::on_replica_load_report(Nanos now, const ReplicaLoadReport& sum) {
   auto& s = *state_;
   s.tick(now);
-  s.spans.add(s.beat, sum.tries * seconds(sum.span));
-  s.spanned.add(s.beat, sum.tries);
+  s.spans.add(s.beat, sum.attempts * seconds(sum.span));
+  s.spanned.add(s.beat, sum.attempts);
   s.stretch = std::max(1.0, s.pace() / seconds(kEvidenceHalfLife));
   const auto known = s.replicas.find(sum.replica);
   if (known == s.replicas.end() || now < known->second.evidence_from) return;
   auto& evidence = known->second.evidence;
-  const double good = static_cast<double>(sum.tries) - std::min(sum.failed, sum.tries);
-  evidence.tries.add(s.beat, sum.tries);
+  const double good = static_cast<double>(sum.attempts) - std::min(sum.failed, sum.attempts);
+  evidence.attempts.add(s.beat, sum.attempts);
   evidence.failed.add(s.beat, sum.failed);
   evidence.sound_tries += good;
-  if (good > 0 && sum.mean_time > Nanos{}) {
-    evidence.time.add(s.beat, good * seconds(sum.mean_time));
+  if (good > 0 && sum.mean_latency > Nanos{}) {
+    evidence.time.add(s.beat, good * seconds(sum.mean_latency));
     evidence.timed.add(s.beat, good);
   }
   s.take_load(known->second, sum.load);
 }
 
-void Governor::demand_summed(Nanos now, ProxyId proxy, const Demand& demand) {
+void Controller::on_demand_report(Nanos now, ProxyId proxy, const DemandReport& demand) {
   auto& s = *state_;
   s.tick(now);
   const auto known = s.proxies.find(proxy);
@@ -1105,29 +1105,29 @@
   s.class_demand[k].add(s.beat, demand.operations);
 }
 
-void Governor::timer_due(Nanos now, TimerId timer) {
+void Controller::on_timer(Nanos now, TimerId timer) {
   state_->tick(now);
   if (timer == kRoundTimer) state_->round();
-  if (timer == kWatchTimer) state_->host.watch_list(true);
+  if (timer == kWatchTimer) state_->host.watch_endpoint_list(true);
 }
 
-void Governor::orders_applied(Nanos now, ProxyId, MarkId mark, Nanos) {
+void Controller::on_acknowledged(Nanos now, ProxyId, AckRequestId mark, Nanos) {
   state_->tick(now);
   state_->confirm(mark);
 }
 
 // A probe is asked for its load report only: a missing answer may be the fault of our own way to the replica.
-void Governor::probe_answered(Nanos now, const ProbeAnswer& answer) {
+void Controller::on_health_check_result(Nanos now, const HealthCheckResult& answer) {
   state_->tick(now);
   const auto known = state_->replicas.find(answer.replica);
   if (known != state_->replicas.end() && answer.answered) state_->take_load(known->second, answer.load);
 }
 
-void Governor::peer_said(Nanos, PeerId, std::string_view) {}
+void Controller::on_peer_message(Nanos, PeerId, std::string_view) {}
 // Sites with slices are not served yet: their standing tables are left as the store holds them.
-void Governor::slice_given(Nanos, TableId) {}
-void Governor::slice_revoked(Nanos, TableId) {}
-void Governor::slice_line_stored(Nanos, TableId, ReplicaId, double) {}
-void Governor::slice_demand_summed(Nanos, TableId, const Demand&) {}
+void Controller::on_slice_granted(Nanos, TableId) {}
+void Controller::on_slice_revoked(Nanos, TableId) {}
+void Controller::on_slice_entry_stored(Nanos, TableId, ReplicaId, double) {}
+void Controller::on_slice_demand_report(Nanos, TableId, const DemandReport&) {}
 
 }  // namespace ospreypost
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -25,22 +25,24 @@
   target_link_libraries(ospreypost_${name} PUBLIC ${PACKAGE_NEEDS})
 endfunction()
 
-ospreypost_package(book order_book.cpp handouts.cpp pushes.cpp claims.cpp NEEDS ospreypost_rules)
-ospreypost_package(lifetime clients.cpp NEEDS ospreypost_rules)
-ospreypost_package(net socket.cpp interrupt.cpp threads.cpp poller.cpp NEEDS Threads::Threads)
+ospreypost_package(routing_state routing_state.cpp pull_delivery.cpp push_scheduler.cpp lease_table.cpp
+  NEEDS ospreypost_policy)
+# Free of I/O, and needed by the configuration, which the rest of dns/ needs.
+add_library(ospreypost_client_ttl_policy STATIC ${PROJECT_SOURCE_DIR}/src/dns/client_ttl_policy.cpp)
+target_link_libraries(ospreypost_client_ttl_policy PUBLIC ospreypost_policy)
+ospreypost_package(net socket.cpp cancellation_event.cpp threads.cpp poller.cpp NEEDS Threads::Threads)
 ospreypost_package(http http.cpp NEEDS ospreypost_net)
-ospreypost_package(list roll.cpp NEEDS ospreypost_net ospreypost_rules)
-ospreypost_package(config xml.cpp config.cpp NEEDS ospreypost_net ospreypost_lifetime LibXml2::LibXml2)
+ospreypost_package(config xml.cpp config.cpp NEEDS ospreypost_net ospreypost_client_ttl_policy LibXml2::LibXml2)
 target_include_directories(ospreypost_config PUBLIC ${PROJECT_BINARY_DIR}/schemas)
-ospreypost_package(sources roll_file.cpp registry.cpp
-  NEEDS ospreypost_config ospreypost_list ospreypost_http nlohmann_json::nlohmann_json)
+ospreypost_package(discovery endpoint_list.cpp endpoint_file_source.cpp discovery_watcher.cpp
+  NEEDS ospreypost_config ospreypost_http nlohmann_json::nlohmann_json)
 ospreypost_package(resp resp.cpp)
-ospreypost_package(otlp metrics.cpp NEEDS ospreypost_net ospreypost_rules nlohmann_json::nlohmann_json)
-ospreypost_package(intake spans.cpp intake.cpp NEEDS ospreypost_otlp ospreypost_config)
-ospreypost_package(dns weights.cpp message.cpp catalogue.cpp rate_limit.cpp answer_cache.cpp responder.cpp server.cpp
-  NEEDS ospreypost_book ospreypost_lifetime ospreypost_config PkgConfig::LDNS)
-ospreypost_package(files render.cpp generation.cpp folder.cpp receiver.cpp pusher.cpp
-  NEEDS ospreypost_http ospreypost_config ospreypost_book ospreypost_lifetime nlohmann_json::nlohmann_json PkgConfig::XXHASH)
+ospreypost_package(load_reports report_spans.cpp otlp_metrics.cpp load_report_processor.cpp
+  NEEDS ospreypost_config nlohmann_json::nlohmann_json)
+ospreypost_package(dns weights.cpp message.cpp name_index.cpp rate_limit.cpp answer_cache.cpp responder.cpp server.cpp
+  NEEDS ospreypost_routing_state ospreypost_config PkgConfig::LDNS)
+ospreypost_package(files render.cpp generation.cpp generation_store.cpp receiver.cpp pusher.cpp
+  NEEDS ospreypost_http ospreypost_config ospreypost_routing_state nlohmann_json::nlohmann_json PkgConfig::XXHASH)
 # What the compiler of protocol buffers writes is not ours to warn about.
 add_custom_command(OUTPUT ${PROJECT_BINARY_DIR}/schemas/record.pb.cc ${PROJECT_BINARY_DIR}/schemas/record.pb.h
   COMMAND protobuf::protoc --cpp_out=${PROJECT_BINARY_DIR}/schemas -I${PROJECT_SOURCE_DIR}/schema
@@ -50,23 +52,29 @@
 target_compile_options(ospreypost_record_schema PRIVATE -w)
 target_include_directories(ospreypost_record_schema SYSTEM PUBLIC ${PROJECT_BINARY_DIR}/schemas)
 target_link_libraries(ospreypost_record_schema PUBLIC protobuf::libprotobuf)
-ospreypost_package(record blocks.cpp reader.cpp edit.cpp writer.cpp orders.cpp tap.cpp
-  NEEDS ospreypost_record_schema ospreypost_net ospreypost_rules PkgConfig::ZSTD PkgConfig::XXHASH)
-ospreypost_package(governor desk.cpp log_lines.cpp live_governor.cpp status.cpp service.cpp
-  NEEDS ospreypost_book ospreypost_lifetime ospreypost_list ospreypost_sources ospreypost_intake ospreypost_dns
-        ospreypost_files ospreypost_record ospreypost_http spdlog::spdlog)
-ospreypost_package(platform environment.cpp messages.cpp channel.cpp places.cpp streams.cpp peers.cpp service.cpp
-  NEEDS ospreypost_governor ospreypost_resp ospreypost_sources ospreypost_wire)
-ospreypost_package(judge judge.cpp NEEDS Threads::Threads)
+ospreypost_package(record blocks.cpp reader.cpp edit.cpp writer.cpp action_encoder.cpp recording_controller.cpp
+  NEEDS ospreypost_record_schema ospreypost_net ospreypost_policy PkgConfig::ZSTD PkgConfig::XXHASH)
+ospreypost_package(control_plane controller_driver.cpp log_lines.cpp control_plane.cpp status.cpp control_plane_server.cpp
+  NEEDS ospreypost_routing_state ospreypost_discovery ospreypost_load_reports ospreypost_dns ospreypost_files
+        ospreypost_record ospreypost_http spdlog::spdlog)
+ospreypost_package(platform platform_config.cpp messages.cpp table_update_encoder.cpp endpoint_registry.cpp
+  stream_server.cpp gossip_channel.cpp platform_server.cpp
+  NEEDS ospreypost_control_plane ospreypost_resp ospreypost_discovery ospreypost_simulator)
+ospreypost_package(checker invariant_checker.cpp NEEDS Threads::Threads)
 # Boost's distributions are headers: the same draws on any machine.
-ospreypost_package(whatif check.cpp evidence.cpp fit.cpp modelled_replica.cpp played.cpp answer.cpp NEEDS ospreypost_book ospreypost_lifetime ospreypost_judge)
-ospreypost_package(replay replay.cpp history.cpp anonymise.cpp export_day.cpp NEEDS ospreypost_record ospreypost_whatif ospreypost_config)
-ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_whatif ospreypost_net)
-ospreypost_package(terms limits.cpp deployment.cpp NEEDS ospreypost_config ospreypost_whatif)
-ospreypost_package(standin replica.cpp stub.cpp proxy.cpp tables.cpp courier.cpp resolver.cpp terminal.cpp
-  NEEDS ospreypost_judge ospreypost_http ospreypost_otlp ospreypost_dns resolv)
-ospreypost_package(day script.cpp composed.cpp child.cpp stage.cpp run.cpp NEEDS ospreypost_standin ospreypost_terms)
-ospreypost_package(cli platform.cpp logging.cpp replay.cpp what_if.cpp record.cpp serve.cpp show.cpp receive.cpp day.cpp NEEDS ospreypost_platform ospreypost_governor ospreypost_replay ospreypost_report ospreypost_terms ospreypost_day CLI11::CLI11)
+ospreypost_package(simulation check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_day.cpp answer.cpp
+  NEEDS ospreypost_routing_state ospreypost_client_ttl_policy ospreypost_checker)
+ospreypost_package(replay replay.cpp history.cpp anonymise.cpp export_day.cpp
+  NEEDS ospreypost_record ospreypost_simulation ospreypost_config)
+ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_simulation ospreypost_net)
+ospreypost_package(terms limits.cpp deployment.cpp NEEDS ospreypost_config ospreypost_simulation)
+ospreypost_package(fakes replica.cpp stub.cpp proxy.cpp tables.cpp faulty_link.cpp resolver.cpp caching_client.cpp
+  NEEDS ospreypost_checker ospreypost_http ospreypost_load_reports ospreypost_dns resolv)
+ospreypost_package(scenario scenario.cpp composed.cpp child_process.cpp test_environment.cpp run.cpp
+  NEEDS ospreypost_fakes ospreypost_terms)
+ospreypost_package(cli platform.cpp logging.cpp replay.cpp what_if.cpp record.cpp serve.cpp show.cpp receive.cpp day.cpp
+  NEEDS ospreypost_platform ospreypost_control_plane ospreypost_replay ospreypost_report ospreypost_terms
+        ospreypost_scenario CLI11::CLI11)
 
 add_executable(ospreypost src/cli/main.cpp)
 target_link_libraries(ospreypost PRIVATE ospreypost_cli)
--- a/src/record/blocks.h
+++ b/src/record/blocks.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::record {
 
--- a/src/record/edit.h
+++ b/src/record/edit.h
@@ -15,7 +15,7 @@
   std::string path;
   FileHead head;
   std::uint64_t bytes = 0, unpacked = 0, blocks = 0, entries = 0;
-  Damage damage;
+  Corruption damage;
   Nanos length{};
 };
 struct Contents {
--- a/src/record/origin.h
+++ b/src/record/origin.h
@@ -2,7 +2,7 @@
 // again.
 #pragma once
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::record {
 
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -104,8 +104,8 @@
 
 }  // namespace
 
-Damage visit(const std::vector<std::string>& files, const Window& window, Visitor& visitor) {
-  Damage damage;
+Corruption visit(const std::vector<std::string>& files, const Window& window, Visitor& visitor) {
+  Corruption damage;
   kept::Block block;
   std::optional<FileHead> first;
   for (const auto& file : files) {
@@ -136,6 +136,6 @@
   return damage;
 }
 
-Damage visit(const std::vector<std::string>& files, Visitor& visitor) { return visit(files, {}, visitor); }
+Corruption visit(const std::vector<std::string>& files, Visitor& visitor) { return visit(files, {}, visitor); }
 
 }  // namespace ospreypost::record
--- a/src/record/reader.h
+++ b/src/record/reader.h
@@ -23,7 +23,7 @@
   virtual void gap(std::uint64_t lost) = 0;
 };
 
-struct Damage {
+struct Corruption {
   std::uint64_t lost = 0;     // entries that were not kept, as far as the record says
   std::uint64_t damaged = 0;  // stretches that are no good block
 };
@@ -36,7 +36,7 @@
 std::string bytes_of(const std::string& file);
 
 // Throws net::Error if a file cannot be read, is no record, or of a newer schema.
-Damage visit(const std::vector<std::string>& files, Visitor& visitor);
+Corruption visit(const std::vector<std::string>& files, Visitor& visitor);
 
 // A stretch of a record's time, from the first entry of its first file on.
 struct Window {
@@ -44,6 +44,6 @@
 };
 // Only blocks that touch the window are unpacked; the others are passed over by their heads. Entries outside
 // of it may still come: the first and last block's.
-Damage visit(const std::vector<std::string>& files, const Window& window, Visitor& visitor);
+Corruption visit(const std::vector<std::string>& files, const Window& window, Visitor& visitor);
 
 }  // namespace ospreypost::record
--- a/src/record/tap.cpp
+++ b/src/record/recording_controller.cpp
@@ -1,4 +1,4 @@
-#include "record/tap.h"
+#include "record/recording_controller.h"
 
 #include "record.pb.h"
 #include "record/writer.h"
@@ -16,7 +16,7 @@
 }  // namespace
 
 template <typename Fill, typename Make>
-void Tap::call(Nanos now, Fill fill, Make make) {
+void RecordingController::call(Nanos now, Fill fill, Make make) {
   if (!writer_) {
     make();
     entry_->Clear();
@@ -31,7 +31,7 @@
   writer_->append(now, text_);
 }
 
-Tap::Tap(const Settings& settings, std::uint64_t seed, Nanos now, Host& host, Writer* writer,
+RecordingController::RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host, Writer* writer,
          const std::string& configuration)
     : host_(host), writer_(writer), entry_(std::make_unique<Entry>()), notes_(*entry_) {
   call(
@@ -41,14 +41,14 @@
         begin.set_configuration(configuration);
         begin.set_wall(Nanos(std::chrono::system_clock::now().time_since_epoch()).count());
       },
-      [&] { governor_ = std::make_unique<Governor>(settings, seed, now, static_cast<Host&>(*this)); });
+      [&] { governor_ = std::make_unique<Controller>(settings, seed, now, static_cast<ActionSink&>(*this)); });
 }
 
-Tap::~Tap() = default;
+RecordingController::~RecordingController() = default;
 
 // --- Calls
 
-void Tap::list_received(Nanos now, ListKind kind, const std::vector<ListEntry>& entries) {
+void RecordingController::on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries) {
   call(
       now,
       [&](Entry& entry) {
@@ -65,13 +65,13 @@
           if (from.started) to.set_started(from.started->count());
         }
       },
-      [&] { governor_->list_received(now, kind, entries); });
+      [&] { governor_->on_endpoint_list(now, kind, entries); });
 }
-void Tap::list_failed(Nanos now) {
+void RecordingController::on_endpoint_list_failed(Nanos now) {
   call(
-      now, [](Entry& entry) { entry.set_list_failed(true); }, [&] { governor_->list_failed(now); });
+      now, [](Entry& entry) { entry.set_list_failed(true); }, [&] { governor_->on_endpoint_list_failed(now); });
 }
-void Tap::proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_rate, bool fresh) {
+void RecordingController::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_rate, bool fresh) {
   call(
       now,
       [&](Entry& entry) {
@@ -81,31 +81,31 @@
         joined.set_usual_rate(usual_rate);
         joined.set_fresh(fresh);
       },
-      [&] { governor_->proxy_joined(now, proxy, zone, usual_rate, fresh); });
+      [&] { governor_->on_proxy_joined(now, proxy, zone, usual_rate, fresh); });
 }
-void Tap::proxy_left(Nanos now, ProxyId proxy) {
+void RecordingController::on_proxy_left(Nanos now, ProxyId proxy) {
   call(
       now, [&](Entry& entry) { entry.set_proxy_left(number(proxy)); },
-      [&] { governor_->proxy_left(now, proxy); });
+      [&] { governor_->on_proxy_left(now, proxy); });
 }
-void Tap::replica_summed(Nanos now, const ReplicaSum& sum, const Origin& origin) {
+void RecordingController::on_replica_load_report(Nanos now, const ReplicaLoadReport& sum, const Origin& origin) {
   call(
       now,
       [&](Entry& entry) {
         auto& to = *entry.mutable_replica_summed();
         to.set_zone(number(sum.zone));
         to.set_replica(number(sum.replica));
-        to.set_tries(sum.tries);
+        to.set_tries(sum.attempts);
         to.set_failed(sum.failed);
-        to.set_mean_time(sum.mean_time.count());
+        to.set_mean_time(sum.mean_latency.count());
         to.set_span(sum.span.count());
         for (const auto value : sum.load) to.add_load(value);
         to.set_proxy(number(origin.proxy));
         to.set_late(origin.late.count());
       },
-      [&] { governor_->replica_summed(now, sum); });
+      [&] { governor_->on_replica_load_report(now, sum); });
 }
-void Tap::demand_summed(Nanos now, const Demand& demand, const Origin& origin) {
+void RecordingController::on_demand_report(Nanos now, const DemandReport& demand, const Origin& origin) {
   call(
       now,
       [&](Entry& entry) {
@@ -117,9 +117,9 @@
         to.set_unanswered(demand.unanswered);
         to.set_span(demand.span.count());
       },
-      [&] { governor_->demand_summed(now, origin.proxy, demand); });
+      [&] { governor_->on_demand_report(now, origin.proxy, demand); });
 }
-void Tap::orders_applied(Nanos now, ProxyId proxy, MarkId mark, Nanos took) {
+void RecordingController::on_acknowledged(Nanos now, ProxyId proxy, AckRequestId mark, Nanos took) {
   call(
       now,
       [&](Entry& entry) {
@@ -128,9 +128,9 @@
         to.set_mark(number(mark));
         to.set_took(took.count());
       },
-      [&] { governor_->orders_applied(now, proxy, mark, took); });
+      [&] { governor_->on_acknowledged(now, proxy, mark, took); });
 }
-void Tap::probe_answered(Nanos now, const ProbeAnswer& answer) {
+void RecordingController::on_health_check_result(Nanos now, const HealthCheckResult& answer) {
   call(
       now,
       [&](Entry& entry) {
@@ -141,23 +141,23 @@
         to.set_took(answer.took.count());
         for (const auto value : answer.load) to.add_load(value);
       },
-      [&] { governor_->probe_answered(now, answer); });
+      [&] { governor_->on_health_check_result(now, answer); });
 }
-void Tap::timer_due(Nanos now, TimerId timer) {
+void RecordingController::on_timer(Nanos now, TimerId timer) {
   call(
       now, [&](Entry& entry) { entry.set_timer_due(number(timer)); },
-      [&] { governor_->timer_due(now, timer); });
+      [&] { governor_->on_timer(now, timer); });
 }
-void Tap::peer_said(Nanos now, PeerId peer, std::string_view message) {
+void RecordingController::on_peer_message(Nanos now, PeerId peer, std::string_view message) {
   call(
       now,
       [&](Entry& entry) {
         entry.mutable_peer_said()->set_peer(number(peer));
         entry.mutable_peer_said()->set_message(std::string(message));
       },
-      [&] { governor_->peer_said(now, peer, message); });
+      [&] { governor_->on_peer_message(now, peer, message); });
 }
-void Tap::named(Nanos now, ReplicaId replica, const std::string& name) {
+void RecordingController::named(Nanos now, ReplicaId replica, const std::string& name) {
   call(
       now,
       [&](Entry& entry) {
@@ -169,51 +169,51 @@
 
 // --- Orders
 
-void Tap::set_line(TableId table, ReplicaId replica, double weight) {
-  notes_.set_line(table, replica, weight);
-  host_.set_line(table, replica, weight);
+void RecordingController::set_table_entry(TableId table, ReplicaId replica, double weight) {
+  notes_.set_table_entry(table, replica, weight);
+  host_.set_table_entry(table, replica, weight);
 }
-void Tap::clear_table(TableId table) {
+void RecordingController::clear_table(TableId table) {
   notes_.clear_table(table);
   host_.clear_table(table);
 }
-void Tap::bind(ProxyId proxy, TableId table, ClassMask classes) {
+void RecordingController::bind(ProxyId proxy, TableId table, ClassMask classes) {
   notes_.bind(proxy, table, classes);
   host_.bind(proxy, table, classes);
 }
-void Tap::withdraw(ReplicaId replica, bool out) {
-  notes_.withdraw(replica, out);
-  host_.withdraw(replica, out);
+void RecordingController::set_ejected(ReplicaId replica, bool out) {
+  notes_.set_ejected(replica, out);
+  host_.set_ejected(replica, out);
 }
-void Tap::set_level(TableId table, ClassMask classes, double level, Retry retry) {
-  notes_.set_level(table, classes, level, retry);
-  host_.set_level(table, classes, level, retry);
+void RecordingController::set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) {
+  notes_.set_admitted_fraction(table, classes, level, retry);
+  host_.set_admitted_fraction(table, classes, level, retry);
 }
-void Tap::mark(MarkId mark, bool reach_all) {
-  notes_.mark(mark, reach_all);
-  host_.mark(mark, reach_all);
+void RecordingController::request_acknowledgement(AckRequestId mark, bool reach_all) {
+  notes_.request_acknowledgement(mark, reach_all);
+  host_.request_acknowledgement(mark, reach_all);
 }
-void Tap::arm(Nanos from_now, TimerId timer) {
-  notes_.arm(from_now, timer);
-  host_.arm(from_now, timer);
+void RecordingController::start_timer(Nanos from_now, TimerId timer) {
+  notes_.start_timer(from_now, timer);
+  host_.start_timer(from_now, timer);
 }
-void Tap::watch_list(bool on) {
-  notes_.watch_list(on);
-  host_.watch_list(on);
+void RecordingController::watch_endpoint_list(bool on) {
+  notes_.watch_endpoint_list(on);
+  host_.watch_endpoint_list(on);
 }
-void Tap::look_up_list() {
-  notes_.look_up_list();
-  host_.look_up_list();
+void RecordingController::refresh_endpoint_list() {
+  notes_.refresh_endpoint_list();
+  host_.refresh_endpoint_list();
 }
-void Tap::probe(ReplicaId replica) {
-  notes_.probe(replica);
-  host_.probe(replica);
+void RecordingController::request_health_check(ReplicaId replica) {
+  notes_.request_health_check(replica);
+  host_.request_health_check(replica);
 }
-void Tap::tell(std::optional<PeerId> peer, std::string_view message) {
-  notes_.tell(peer, message);
-  host_.tell(peer, message);
+void RecordingController::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
+  notes_.send_to_peer(peer, message);
+  host_.send_to_peer(peer, message);
 }
-void Tap::log(std::string_view line) {
+void RecordingController::log(std::string_view line) {
   notes_.log(line);
   host_.log(line);
 }
--- /dev/null
+++ b/src/record/recording_controller.h
@@ -0,0 +1,62 @@
+// The one place where calls enter the module and its orders leave: has the module's own methods, and writes
+// down each call with the orders that it made. Decides nothing; with no writer it only passes on.
+#pragma once
+
+#include <memory>
+#include <string>
+
+#include "record/action_encoder.h"
+#include "record/origin.h"
+#include "policy/controller.h"
+
+namespace ospreypost::record {
+
+class Writer;
+
+class RecordingController : private ActionSink {
+ public:
+  // `configuration`: as the file gave it. `writer` may be null; else it must outlive this, as must the host.
+  RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host, Writer* writer,
+      const std::string& configuration);
+  ~RecordingController() override;
+
+  void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
+  void on_endpoint_list_failed(Nanos now);
+  void on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second, bool fresh);
+  void on_proxy_left(Nanos now, ProxyId proxy);
+  void on_replica_load_report(Nanos now, const ReplicaLoadReport& sum, const Origin& origin);
+  void on_demand_report(Nanos now, const DemandReport& demand, const Origin& origin);
+  void on_acknowledged(Nanos now, ProxyId proxy, AckRequestId mark, Nanos took);
+  void on_health_check_result(Nanos now, const HealthCheckResult& answer);
+  void on_timer(Nanos now, TimerId timer);
+  void on_peer_message(Nanos now, PeerId peer, std::string_view message);
+  // No call: what an id stands for, for those who read the record.
+  void named(Nanos now, ReplicaId replica, const std::string& name);
+
+ private:
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override;
+  void clear_table(TableId table) override;
+  void bind(ProxyId proxy, TableId table, ClassMask classes) override;
+  void set_ejected(ReplicaId replica, bool out) override;
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override;
+  void request_acknowledgement(AckRequestId mark, bool reach_all) override;
+  void start_timer(Nanos from_now, TimerId timer) override;
+  void watch_endpoint_list(bool on) override;
+  void refresh_endpoint_list() override;
+  void request_health_check(ReplicaId replica) override;
+  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override;
+  void log(std::string_view line) override;
+
+  // Makes the call, with its entry open for the orders, and hands the entry on.
+  template <typename Fill, typename Make>
+  void call(Nanos now, Fill fill, Make make);
+
+  ActionSink& host_;
+  Writer* const writer_;
+  std::unique_ptr<kept::Entry> entry_;  // of the call being made
+  ActionEncoder notes_;
+  std::string text_;
+  std::unique_ptr<Controller> governor_;
+};
+
+}  // namespace ospreypost::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Writer::Writer(Keeping keeping, std::function<void()> step)
+Writer::Writer(RetentionPolicy keeping, std::function<void()> step)
     : keeping_(std::move(keeping)), step_(std::move(step)) {
   std::error_code error;
   fs::create_directories(keeping_.folder, error);
--- a/src/record/writer.h
+++ b/src/record/writer.h
@@ -16,7 +16,7 @@
 
 namespace ospreypost::record {
 
-struct Keeping {
+struct RetentionPolicy {
   std::string folder;
   std::uint64_t most_bytes = 1U << 30;   // of all files; the oldest go first
   std::uint64_t file_bytes = 64U << 20;  // of one
@@ -26,7 +26,7 @@
 class Writer {
  public:
   // Throws net::Error if the folder cannot be had. `step` is called before each write; tests fail there.
-  explicit Writer(Keeping keeping, std::function<void()> step = {});
+  explicit Writer(RetentionPolicy keeping, std::function<void()> step = {});
   ~Writer() { stop(); }
   // `entry`: a serialized Entry. Returns at once.
   void append(Nanos at, const std::string& entry);
@@ -49,7 +49,7 @@
   void open_file(const Gathered& first);
   void prune();
 
-  const Keeping keeping_;
+  const RetentionPolicy keeping_;
   const std::function<void()> step_;
   mutable std::mutex lock_;
   std::condition_variable changed_;
--- a/src/replay/export_day.cpp
+++ b/src/replay/export_day.cpp
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-#include "whatif/check.h"
+#include "simulation/check.h"
 
 namespace ospreypost::replay {
 namespace {
@@ -43,7 +43,7 @@
 
 class Exporting {
  public:
-  Exporting(const whatif::History& history, const whatif::Deployment& deployment, const whatif::Fleet& fleet,
+  Exporting(const simulation::History& history, const simulation::Deployment& deployment, const simulation::Fleet& fleet,
             const std::vector<std::string>& kinds)
       : history_(history), deployment_(deployment), fleet_(fleet), kinds_(kinds) {
     // A day's clock starts when its proxies have their tables; a record's, when the governor does.
@@ -55,7 +55,7 @@
   }
 
   std::string text(const std::string& name, const std::string& governor) {
-    whatif::check(history_, deployment_);
+    simulation::check(history_, deployment_);
     const Nanos length = history_.length - begun_.value_or(0ns);
     if (length > kLongest)
       throw std::invalid_argument("the record is longer than the hour that a day may last: cut it");
@@ -104,7 +104,7 @@
 
   // Replicas of one zone, kind and make lie together in a day; they are called by zone and number.
   void name_replicas() {
-    std::map<std::tuple<ZoneId, KindId, long, long>, std::vector<std::size_t>> alike;
+    std::map<std::tuple<ZoneId, HardwareKindId, long, long>, std::vector<std::size_t>> alike;
     for (std::size_t n = 0; n < fleet_.replicas.size(); ++n) {
       const auto& replica = fleet_.replicas[n];
       alike[{replica.zone, replica.kind, std::lround(replica.cores), std::lround(10 / replica.slowness)}]
@@ -174,7 +174,7 @@
   // Drains, and deaths that the list told of, each until the replica is listed ready again.
   void list_troubles() {
     struct State {
-      Phase phase = Phase::gone;
+      EndpointPhase phase = EndpointPhase::gone;
       Nanos left{};                 // drained or died
       std::optional<Nanos> leaves;  // of a drain: when it went
       bool draining = false, known = false;
@@ -196,12 +196,12 @@
     for (const auto& news : history_.lists) {
       for (const auto& entry : news.entries) {
         auto& state = states[entry.replica];
-        if (entry.phase == Phase::ready) {
+        if (entry.phase == EndpointPhase::ready) {
           back(entry.replica, state, news.at);
-          state = {Phase::ready, 0ns, {}, false, true};
-        } else if (entry.phase == Phase::draining && state.left == 0ns) {
+          state = {EndpointPhase::ready, 0ns, {}, false, true};
+        } else if (entry.phase == EndpointPhase::draining && state.left == 0ns) {
           state.left = news.at, state.draining = true, state.phase = entry.phase;
-        } else if (entry.phase == Phase::gone) {
+        } else if (entry.phase == EndpointPhase::gone) {
           if (state.left == 0ns) state.left = news.at, state.draining = false;
           state.leaves = news.at;
         }
@@ -253,7 +253,7 @@
       }
     }
   }
-  static std::string kind_of(const whatif::Spell& spell) {
+  static std::string kind_of(const simulation::Spell& spell) {
     if (spell.fails >= kIll)
       return spell.never_ran > 0.5 && spell.fails > 0.9 ? "refuse"
              : spell.hangs > 0.5 && spell.fails > 0.9   ? "hang"
@@ -330,9 +330,9 @@
     }
   }
 
-  const whatif::History& history_;
-  const whatif::Deployment& deployment_;
-  const whatif::Fleet& fleet_;
+  const simulation::History& history_;
+  const simulation::Deployment& deployment_;
+  const simulation::Fleet& fleet_;
   const std::vector<std::string>& kinds_;
   std::optional<Nanos> begun_;
   std::vector<std::vector<std::size_t>> groups_;
@@ -343,8 +343,8 @@
 
 }  // namespace
 
-ExportedDay export_day(const whatif::History& history, const whatif::Deployment& deployment,
-                       const whatif::Fleet& fleet, const std::vector<std::string>& kinds,
+ExportedDay export_day(const simulation::History& history, const simulation::Deployment& deployment,
+                       const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
                        const std::string& name, const std::string& governor) {
   return {Exporting(history, deployment, fleet, kinds).text(name, governor), history.configuration};
 }
--- a/src/replay/export_day.h
+++ b/src/replay/export_day.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "whatif/fleet.h"
+#include "simulation/fleet.h"
 
 namespace ospreypost::replay {
 
@@ -16,8 +16,8 @@
 // `fleet` is the model fitted from the same record; `governor` the name of the configuration's file. What a
 // day cannot say is left out and named in the file's first lines. Throws std::invalid_argument if the record
 // is longer than a day file may be, or tells of no replica.
-ExportedDay export_day(const whatif::History& history, const whatif::Deployment& deployment,
-                       const whatif::Fleet& fleet, const std::vector<std::string>& kinds,
+ExportedDay export_day(const simulation::History& history, const simulation::Deployment& deployment,
+                       const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
                        const std::string& name, const std::string& governor);
 
 }  // namespace ospreypost::replay
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -30,9 +30,9 @@
       return is_time(entry.begin().wall());
     case Entry::kListReceived: {
       const auto& list = entry.list_received();
-      return list.kind() <= static_cast<std::uint32_t>(ListKind::cached) &&
+      return list.kind() <= static_cast<std::uint32_t>(EndpointListKind::cached) &&
              std::all_of(list.entries().begin(), list.entries().end(), [](const auto& line) {
-               return line.phase() <= static_cast<std::uint32_t>(Phase::gone) && is_time(line.started()) &&
+               return line.phase() <= static_cast<std::uint32_t>(EndpointPhase::gone) && is_time(line.started()) &&
                       std::isfinite(line.weight());
              });
     }
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-whatif::History HistoryReader::end(const record::Damage& damage) {
+simulation::History HistoryReader::end(const record::Corruption& damage) {
   if (history_.lives.empty()) throw net::Error("the record holds no start of a governor");
   history_.lost = damage.lost;
   history_.damaged = damage.damaged + absurd_;
@@ -89,7 +89,7 @@
     case Entry::kListReceived:
       return list(at, entry);
     case Entry::kListFailed:
-      history_.lists.push_back({at, ListKind::changes, true, {}});
+      history_.lists.push_back({at, EndpointListKind::changes, true, {}});
       return;
     case Entry::kProxyJoined: {
       const auto& joined = entry.proxy_joined();
@@ -102,9 +102,9 @@
       history_.memberships.push_back({at, proxy(entry.proxy_left()), false, {}, 0, false});
       return;
     case Entry::kReplicaSummed:
-      return replica_summed(at, entry);
+      return on_replica_load_report(at, entry);
     case Entry::kDemandSummed:
-      return demand_summed(at, entry);
+      return on_demand_report(at, entry);
     case Entry::kOrdersApplied:
       history_.applied.push_back(
           {proxy(entry.orders_applied().proxy()), Nanos(entry.orders_applied().took())});
@@ -140,14 +140,14 @@
 
 void HistoryReader::list(Nanos at, const Entry& entry) {
   const auto& from = entry.list_received();
-  whatif::ListNews news{at, static_cast<ListKind>(from.kind()), false, {}};
+  simulation::ListNews news{at, static_cast<EndpointListKind>(from.kind()), false, {}};
   for (const auto& line : from.entries()) {
-    ListEntry listed;
+    EndpointUpdate listed;
     listed.replica = replica(line.replica());
     listed.zone = ZoneId{static_cast<std::uint16_t>(line.zone())};
-    listed.kind = KindId{static_cast<std::uint16_t>(line.kind())};
+    listed.kind = HardwareKindId{static_cast<std::uint16_t>(line.kind())};
     listed.cell = CellId{static_cast<std::uint16_t>(line.cell())};
-    listed.phase = static_cast<Phase>(line.phase());
+    listed.phase = static_cast<EndpointPhase>(line.phase());
     listed.weight = line.weight();
     if (line.has_started()) listed.started = Nanos(line.started()) + offset_;
     news.entries.push_back(listed);
@@ -156,7 +156,7 @@
 }
 
 // The report that a line belongs to: the last of its proxy, if it has the same span and came just before.
-whatif::Report& HistoryReader::report(Nanos at, ProxyId proxy, Nanos late, Nanos span, bool starts_anew) {
+simulation::Report& HistoryReader::report(Nanos at, ProxyId proxy, Nanos late, Nanos span, bool starts_anew) {
   const auto open = open_.find(proxy);
   if (open != open_.end() && !starts_anew) {
     auto& last = history_.reports[open->second];
@@ -167,9 +167,9 @@
   return history_.reports.back();
 }
 
-void HistoryReader::replica_summed(Nanos at, const Entry& entry) {
+void HistoryReader::on_replica_load_report(Nanos at, const Entry& entry) {
   const auto& from = entry.replica_summed();
-  whatif::Met met{replica(from.replica()), from.tries(), from.failed(), Nanos(from.mean_time()), {}};
+  simulation::Met met{replica(from.replica()), from.tries(), from.failed(), Nanos(from.mean_time()), {}};
   met.load.assign(from.load().begin(), from.load().end());
   if (!from.has_proxy()) {
     nameless_.push_back({at, Nanos(from.span()), std::move(met)});
@@ -177,19 +177,19 @@
   }
   auto& into = report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), false);
   const bool again = std::any_of(into.met.begin(), into.met.end(),
-                                 [&](const whatif::Met& other) { return other.replica == met.replica; });
+                                 [&](const simulation::Met& other) { return other.replica == met.replica; });
   auto& mine = again || !into.asked.empty()
                    ? report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), true)
                    : into;
   mine.met.push_back(std::move(met));
 }
 
-void HistoryReader::demand_summed(Nanos at, const Entry& entry) {
+void HistoryReader::on_demand_report(Nanos at, const Entry& entry) {
   const auto& from = entry.demand_summed();
   const ClassId cls{static_cast<std::uint16_t>(from.cls())};
-  const auto has = [&](const whatif::Report& report) {
+  const auto has = [&](const simulation::Report& report) {
     return std::any_of(report.asked.begin(), report.asked.end(),
-                       [&](const whatif::Asked& asked) { return asked.cls == cls; });
+                       [&](const simulation::Asked& asked) { return asked.cls == cls; });
   };
   auto* into = &report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), false);
   if (has(*into)) into = &report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), true);
@@ -202,7 +202,7 @@
   nameless_.clear();
 }
 
-whatif::History read_history(const std::vector<std::string>& files) {
+simulation::History read_history(const std::vector<std::string>& files) {
   HistoryReader reader;
   const auto damage = record::visit(files, reader);
   return reader.end(damage);
--- a/src/replay/history.h
+++ b/src/replay/history.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "names/names.h"
+#include "discovery/name_table.h"
 #include "record/reader.h"
-#include "whatif/history.h"
+#include "simulation/history.h"
 
 namespace ospreypost::replay {
 
@@ -18,26 +18,26 @@
   void entry(const kept::Entry& entry) override;
   void gap(std::uint64_t) override {}
   // Throws net::Error if no governor has started.
-  whatif::History end(const record::Damage& damage);
+  simulation::History end(const record::Corruption& damage);
 
  private:
   void begin(const kept::Entry& entry);
   void take(Nanos at, const kept::Entry& entry);
   void list(Nanos at, const kept::Entry& entry);
-  void replica_summed(Nanos at, const kept::Entry& entry);
-  void demand_summed(Nanos at, const kept::Entry& entry);
+  void on_replica_load_report(Nanos at, const kept::Entry& entry);
+  void on_demand_report(Nanos at, const kept::Entry& entry);
   ReplicaId replica(std::uint32_t number);
-  whatif::Report& report(Nanos at, ProxyId proxy, Nanos late, Nanos span, bool starts_anew);
+  simulation::Report& report(Nanos at, ProxyId proxy, Nanos late, Nanos span, bool starts_anew);
 
   // A line of an older record, that does not say whose it is.
   struct Nameless {
     Nanos at{}, span{};
-    whatif::Met met;
+    simulation::Met met;
   };
-  whatif::History history_;
+  simulation::History history_;
   std::int64_t first_wall_ = 0;
   Nanos offset_{};  // from the life's clock to the record's
-  names::NameTable<ReplicaId> names_;
+  discovery::NameTable<ReplicaId> names_;
   std::map<std::uint32_t, ReplicaId> ids_;  // of the present life
   std::map<ProxyId, std::size_t> open_;     // the last report of each
   std::vector<Nameless> nameless_;
@@ -45,6 +45,6 @@
 };
 
 // Throws net::Error if a file cannot be read, is no record, of a newer schema, or holds no start.
-whatif::History read_history(const std::vector<std::string>& files);
+simulation::History read_history(const std::vector<std::string>& files);
 
 }  // namespace ospreypost::replay
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "record.pb.h"
-#include "record/orders.h"
+#include "record/action_encoder.h"
 #include "record/reader.h"
 
 namespace ospreypost::replay {
@@ -15,70 +15,70 @@
 using kept::Entry;
 
 // The call is made again, as it was made then. False if it is none of a governor's.
-bool make(Governor& governor, const Entry& entry) {
+bool make(Controller& governor, const Entry& entry) {
   const Nanos now(entry.at());
   const auto load = [](const auto& values) { return std::vector<float>(values.begin(), values.end()); };
   switch (entry.call_case()) {
     case Entry::kListReceived: {
-      std::vector<ListEntry> entries;
+      std::vector<EndpointUpdate> entries;
       for (const auto& from : entry.list_received().entries()) {
-        ListEntry to;
+        EndpointUpdate to;
         to.replica = ReplicaId{from.replica()};
         to.zone = ZoneId{static_cast<std::uint16_t>(from.zone())};
-        to.kind = KindId{static_cast<std::uint16_t>(from.kind())};
+        to.kind = HardwareKindId{static_cast<std::uint16_t>(from.kind())};
         to.cell = CellId{static_cast<std::uint16_t>(from.cell())};
-        to.phase = static_cast<Phase>(from.phase());
+        to.phase = static_cast<EndpointPhase>(from.phase());
         to.weight = from.weight();
         if (from.has_started()) to.started = Nanos(from.started());
         entries.push_back(to);
       }
-      governor.list_received(now, static_cast<ListKind>(entry.list_received().kind()), entries);
+      governor.on_endpoint_list(now, static_cast<EndpointListKind>(entry.list_received().kind()), entries);
       return true;
     }
     case Entry::kListFailed:
-      governor.list_failed(now);
+      governor.on_endpoint_list_failed(now);
       return true;
     case Entry::kProxyJoined: {
       const auto& joined = entry.proxy_joined();
-      governor.proxy_joined(now, ProxyId{static_cast<std::uint16_t>(joined.proxy())},
+      governor.on_proxy_joined(now, ProxyId{static_cast<std::uint16_t>(joined.proxy())},
                             ZoneId{static_cast<std::uint16_t>(joined.zone())}, joined.usual_rate(),
                             joined.fresh());
       return true;
     }
     case Entry::kProxyLeft:
-      governor.proxy_left(now, ProxyId{static_cast<std::uint16_t>(entry.proxy_left())});
+      governor.on_proxy_left(now, ProxyId{static_cast<std::uint16_t>(entry.proxy_left())});
       return true;
     case Entry::kReplicaSummed: {
       const auto& from = entry.replica_summed();
-      governor.replica_summed(
+      governor.on_replica_load_report(
           now, {ZoneId{static_cast<std::uint16_t>(from.zone())}, ReplicaId{from.replica()}, from.tries(),
                 from.failed(), Nanos(from.mean_time()), Nanos(from.span()), load(from.load())});
       return true;
     }
     case Entry::kDemandSummed: {
       const auto& from = entry.demand_summed();
-      governor.demand_summed(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
+      governor.on_demand_report(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
                              {ClassId{static_cast<std::uint16_t>(from.cls())}, from.operations(),
                               from.unanswered(), Nanos(from.span())});
       return true;
     }
     case Entry::kOrdersApplied: {
       const auto& from = entry.orders_applied();
-      governor.orders_applied(now, ProxyId{static_cast<std::uint16_t>(from.proxy())}, MarkId{from.mark()},
+      governor.on_acknowledged(now, ProxyId{static_cast<std::uint16_t>(from.proxy())}, AckRequestId{from.mark()},
                               Nanos(from.took()));
       return true;
     }
     case Entry::kProbeAnswered: {
       const auto& from = entry.probe_answered();
-      governor.probe_answered(now, {ReplicaId{from.replica()}, from.answered(), from.refused(),
+      governor.on_health_check_result(now, {ReplicaId{from.replica()}, from.answered(), from.refused(),
                                     Nanos(from.took()), load(from.load())});
       return true;
     }
     case Entry::kTimerDue:
-      governor.timer_due(now, TimerId{entry.timer_due()});
+      governor.on_timer(now, TimerId{entry.timer_due()});
       return true;
     case Entry::kPeerSaid:
-      governor.peer_said(now, PeerId{static_cast<std::uint16_t>(entry.peer_said().peer())},
+      governor.on_peer_message(now, PeerId{static_cast<std::uint16_t>(entry.peer_said().peer())},
                          entry.peer_said().message());
       return true;
     case Entry::kBegin:
@@ -112,7 +112,7 @@
     replayed_.clear_orders();
     if (entry.call_case() == Entry::kBegin) {
       const auto [settings, seed] = options_.settings_of(entry.begin().configuration());
-      governor_ = std::make_unique<Governor>(settings, seed, Nanos(entry.at()), host_);
+      governor_ = std::make_unique<Controller>(settings, seed, Nanos(entry.at()), host_);
       ++outcome_.governors;
     } else if (!governor_) {
       ++outcome_.unplayed;
@@ -148,8 +148,8 @@
   const Options& options_;
   Outcome outcome_;
   Entry replayed_;  // the orders that are made now
-  record::OrderNotes host_{replayed_};
-  std::unique_ptr<Governor> governor_;
+  record::ActionEncoder host_{replayed_};
+  std::unique_ptr<Controller> governor_;
   std::uint64_t digest_ = 0;
 };
 
--- a/src/replay/replay.h
+++ b/src/replay/replay.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::replay {
 
--- a/src/report/page.cpp
+++ b/src/report/page.cpp
@@ -48,12 +48,12 @@
   return text;
 }
 
-std::string bounded(const whatif::Bounded& of) {
+std::string bounded(const simulation::Bounded& of) {
   return "<td>" + figure(of.figure) + "</td><td>" + figure(of.least) + " to " + figure(of.most) +
          "</td><td>" + figure(of.spread) + "</td>";
 }
 
-std::string rules(const whatif::Answer& answer) {
+std::string rules(const simulation::Answer& answer) {
   std::string broken;
   for (const auto& rule : answer.rules) {
     if (rule.kept < rule.days)
@@ -79,7 +79,7 @@
   return text;
 }
 
-std::string error(const whatif::ModelError& error) {
+std::string error(const simulation::ModelError& error) {
   return "<h2>How far the model is to be believed</h2>\n<p>On the recorded setting, asked about stretches "
          "of " +
          figure(std::chrono::duration<double>(error.stretch).count()) +
--- a/src/report/plots.h
+++ b/src/report/plots.h
@@ -4,15 +4,15 @@
 #include <string>
 #include <vector>
 
-#include "whatif/answer.h"
+#include "simulation/answer.h"
 
 namespace ospreypost::report {
 
 // What a page is made of: recorded and modelled apart.
 struct Material {
-  const whatif::History& history;
-  const whatif::ModelError& error;
-  const std::vector<whatif::Answer>& answers;
+  const simulation::History& history;
+  const simulation::ModelError& error;
+  const std::vector<simulation::Answer>& answers;
 };
 
 struct Plot {
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -10,21 +10,21 @@
 // The number of a line such as "*3" or "$12" at `at`, which moves past it; empty if the line is not whole.
 std::optional<std::size_t> header(std::string_view bytes, std::size_t& at, char sign) {
   if (at >= bytes.size()) return std::nullopt;
-  if (bytes[at] != sign) throw Malformed("no array of bulk strings");
+  if (bytes[at] != sign) throw ProtocolError("no array of bulk strings");
   const auto line = bytes.substr(at + 1, kMostDigits + 2);
   const auto end = line.find('\r');
   const auto digits = line.substr(0, end);
   std::size_t number = 0;
   const auto read = std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (!digits.empty() && (read.ec != std::errc{} || read.ptr != digits.data() + digits.size()))
-    throw Malformed("a length is no number");
+    throw ProtocolError("a length is no number");
   if (end == std::string_view::npos) {
-    if (line.size() > kMostDigits) throw Malformed("a length without an end");
+    if (line.size() > kMostDigits) throw ProtocolError("a length without an end");
     return std::nullopt;
   }
-  if (digits.empty()) throw Malformed("a length is missing");
+  if (digits.empty()) throw ProtocolError("a length is missing");
   if (end + 1 >= line.size()) return std::nullopt;
-  if (line[end + 1] != '\n') throw Malformed("a length without its line's end");
+  if (line[end + 1] != '\n') throw ProtocolError("a length without its line's end");
   at += 1 + end + 2;
   return number;
 }
@@ -41,19 +41,19 @@
   auto at = at_;
   const auto count = header(bytes, at, '*');
   if (!count) return std::nullopt;
-  if (*count == 0 || *count > limits_.words) throw Malformed("a message of so many words");
+  if (*count == 0 || *count > limits_.words) throw ProtocolError("a message of so many words");
   std::vector<std::string_view> words;
   for (std::size_t n = 0; n < *count; ++n) {
     const auto size = header(bytes, at, '$');
     if (at - at_ > limits_.bytes || (size && *size > limits_.bytes - (at - at_)))
-      throw Malformed("a message of so many bytes");
+      throw ProtocolError("a message of so many bytes");
     if (!size || bytes.size() - at < *size + 2) {
       if (size && bytes.size() - at > *size && bytes[at + *size] != '\r')
-        throw Malformed("a word without its end");
+        throw ProtocolError("a word without its end");
       return std::nullopt;
     }
     words.push_back(bytes.substr(at, *size));
-    if (bytes.substr(at + *size, 2) != "\r\n") throw Malformed("a word without its end");
+    if (bytes.substr(at + *size, 2) != "\r\n") throw ProtocolError("a word without its end");
     at += *size + 2;
   }
   at_ = at;
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -12,7 +12,7 @@
 namespace ospreypost::resp {
 
 // Bytes that can be no message, or one past the limits; nothing after them can be read.
-class Malformed : public std::runtime_error {
+class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
--- a/src/book/claims.cpp
+++ b/src/routing_state/lease_table.cpp
@@ -1,10 +1,10 @@
-#include "book/claims.h"
+#include "routing_state/lease_table.h"
 
 #include <algorithm>
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
-Claims::Standing Claims::met(ProxyId proxy, const Met& met) {
+LeaseTable::Standing LeaseTable::met(ProxyId proxy, const RemoteState& met) {
   auto [known, first] = epochs_.try_emplace(proxy, start_);
   auto& epoch = known->second;
   if (first) {
@@ -18,7 +18,7 @@
   return Standing::claimed;
 }
 
-std::uint64_t Claims::epoch(ProxyId proxy) const {
+std::uint64_t LeaseTable::epoch(ProxyId proxy) const {
   const auto known = epochs_.find(proxy);
   return known == epochs_.end() ? 0 : known->second;
 }
--- a/src/book/claims.h
+++ b/src/routing_state/lease_table.h
@@ -14,32 +14,32 @@
 #include <string>
 #include <vector>
 
-#include "book/version.h"
+#include "routing_state/routing_snapshot.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
 // What lies at a proxy, as it says itself.
-struct Met {
+struct RemoteState {
   bool any = false;  // something does
   std::uint64_t epoch = 0;
-  VersionNumber version{};
+  SnapshotVersion version{};
   std::string owner;   // the process that ordered it
   bool stale = false;  // nobody who holds it has spoken within its lease
   // After a way back by hand: the replicas that it goes by instead of the newest's, by name.
   std::vector<std::string> instead;
 };
 
-class Claims {
+class LeaseTable {
  public:
   // `start`: epochs of first claims are at least this; `owner`: names this process alone.
-  Claims(std::uint64_t start, std::string owner) : start_(start), owner_(std::move(owner)) {}
+  LeaseTable(std::uint64_t start, std::string owner) : start_(start), owner_(std::move(owner)) {}
 
   enum class Standing {
     ours,     // goes on
     claimed,  // ours from now on; what lies there is not of this claim
     theirs,
   };
-  Standing met(ProxyId proxy, const Met& met);
+  Standing met(ProxyId proxy, const RemoteState& met);
   // To order by; 0 before the first claim.
   std::uint64_t epoch(ProxyId proxy) const;
   const std::string& owner() const { return owner_; }
--- a/src/book/handouts.cpp
+++ b/src/routing_state/pull_delivery.cpp
@@ -1,13 +1,13 @@
-#include "book/handouts.h"
+#include "routing_state/pull_delivery.h"
 
 #include <algorithm>
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 namespace {
 
-bool presses(const View& given, const View& standing) {
-  const auto by_replica = [](const Line& line, ReplicaId id) { return line.replica < id; };
-  return std::any_of(given.lines.begin(), given.lines.end(), [&](const Line& line) {
+bool presses(const RoutingTable& given, const RoutingTable& standing) {
+  const auto by_replica = [](const TableEntry& line, ReplicaId id) { return line.replica < id; };
+  return std::any_of(given.lines.begin(), given.lines.end(), [&](const TableEntry& line) {
     const auto now = std::lower_bound(standing.lines.begin(), standing.lines.end(), line.replica, by_replica);
     return now == standing.lines.end() || now->replica != line.replica || now->weight < line.weight / 2;
   });
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool presses(const Holding& given, const Holding& standing) {
+bool presses(const ProxySnapshot& given, const ProxySnapshot& standing) {
   for (std::size_t k = 0; k < given.views.size(); ++k) {
     if (!given.views[k]) continue;
     const bool bound = k < standing.views.size() && standing.views[k];
@@ -24,40 +24,40 @@
   return false;
 }
 
-std::size_t size_of(const Holding& holding) {
+std::size_t size_of(const ProxySnapshot& holding) {
   std::size_t lines = 0;
   for (const auto& view : holding.views) lines += view ? 1 + view->lines.size() + view->terms.size() : 0;
   return lines;
 }
 
-double merged(double waiting, std::size_t lines, const Holding& standing, double head_lines) {
+double merged(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines) {
   const double whole = head_lines + static_cast<double>(size_of(standing));
   const double more = static_cast<double>(lines) + (waiting > 0 ? 0 : head_lines);
   return std::min(whole, waiting + more);
 }
 
-Handouts::Handouts(const ChannelLimits& limits)
-    : head_lines_(limits.head_lines), limit_(limits.messages_allowed, limits.window) {}
+PullDelivery::PullDelivery(const ChannelLimits& limits)
+    : head_lines_(limits.head_lines), limit_(limits.max_messages_per_window, limits.window) {}
 
-void Handouts::joined(Nanos now, ProxyId proxy) {
+void PullDelivery::joined(Nanos now, ProxyId proxy) {
   left(proxy);
   proxies_[proxy].bucket = limit_.full(now);
 }
 
-void Handouts::left(ProxyId proxy) {
+void PullDelivery::left(ProxyId proxy) {
   const auto known = proxies_.find(proxy);
   if (known == proxies_.end()) return;
   counts_.waiting -= known->second.waiting;
   proxies_.erase(known);
 }
 
-void Handouts::wait(Proxy& proxy, double lines) {
+void PullDelivery::wait(Proxy& proxy, double lines) {
   counts_.waiting += lines - proxy.waiting;
   proxy.waiting = lines;
   counts_.worst_waiting = std::max(counts_.worst_waiting, counts_.waiting);
 }
 
-void Handouts::ordered(Nanos, ProxyId id, std::shared_ptr<const Holding> holding, std::size_t lines) {
+void PullDelivery::ordered(Nanos, ProxyId id, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
@@ -65,7 +65,7 @@
   wait(proxy, merged(proxy.waiting, lines, *proxy.standing, head_lines_));
 }
 
-std::shared_ptr<const Holding> Handouts::take(Nanos now, ProxyId id) {
+std::shared_ptr<const ProxySnapshot> PullDelivery::take(Nanos now, ProxyId id) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return nullptr;
   auto& proxy = known->second;
@@ -75,21 +75,21 @@
     ++counts_.held_back;
     return urgent ? nullptr : proxy.given;
   }
-  TokenLimit::take(proxy.bucket);
+  TokenBucketLimiter::take(proxy.bucket);
   proxy.given = proxy.standing;
   ++counts_.messages;
   wait(proxy, 0);
   return proxy.given;
 }
 
-void Handouts::mark(Nanos now, MarkId mark, VersionNumber reached_with, const std::vector<ProxyId>& by) {
+void PullDelivery::request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with, const std::vector<ProxyId>& by) {
   for (const auto id : by) {
     const auto known = proxies_.find(id);
     if (known != proxies_.end()) known->second.marks.push_back({mark, reached_with, now});
   }
 }
 
-std::vector<Handouts::Reached> Handouts::reached(Nanos now, ProxyId id) {
+std::vector<PullDelivery::Reached> PullDelivery::reached(Nanos now, ProxyId id) {
   std::vector<Reached> told;
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return told;
--- a/src/book/handouts.h
+++ b/src/routing_state/pull_delivery.h
@@ -11,34 +11,34 @@
 #include <memory>
 #include <vector>
 
-#include "book/tokens.h"
-#include "book/version.h"
+#include "routing_state/token_bucket_limiter.h"
+#include "routing_state/routing_snapshot.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
 struct ChannelLimits {
   double head_lines = 0;             // of each message
-  std::size_t messages_allowed = 0;  // to one proxy within the window; 0: no limit
+  std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
 };
 
-class Handouts {
+class PullDelivery {
  public:
-  explicit Handouts(const ChannelLimits& limits);
+  explicit PullDelivery(const ChannelLimits& limits);
 
   void joined(Nanos now, ProxyId proxy);
   void left(ProxyId proxy);
   // `holding` is what now stands for the proxy, `lines` what changed with it.
-  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const Holding> holding, std::size_t lines);
+  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines);
 
   // What the proxy may be answered from at this moment. Null when nothing can be said that keeps the rules:
   // it has not joined, is bound to nothing, or what it was last given names a replica that is withdrawn since
   // and no message is left.
-  std::shared_ptr<const Holding> take(Nanos now, ProxyId proxy);
+  std::shared_ptr<const ProxySnapshot> take(Nanos now, ProxyId proxy);
 
-  void mark(Nanos now, MarkId mark, VersionNumber reached_with, const std::vector<ProxyId>& by);
+  void request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with, const std::vector<ProxyId>& by);
   struct Reached {
-    MarkId mark{};
+    AckRequestId mark{};
     ProxyId proxy{};
     Nanos took{};
   };
@@ -56,32 +56,32 @@
 
  private:
   struct Mark {
-    MarkId id{};
-    VersionNumber with{};
+    AckRequestId id{};
+    SnapshotVersion with{};
     Nanos ordered{};
   };
   struct Proxy {
-    std::shared_ptr<const Holding> given, standing;
+    std::shared_ptr<const ProxySnapshot> given, standing;
     double waiting = 0;
-    TokenLimit::Bucket bucket;
+    TokenBucketLimiter::Bucket bucket;
     std::deque<Mark> marks;
   };
   void wait(Proxy& proxy, double lines);
 
   const double head_lines_;
-  const TokenLimit limit_;
+  const TokenBucketLimiter limit_;
   std::map<ProxyId, Proxy> proxies_;
   Counts counts_;
 };
 
 // The lines that the whole of a holding takes, terms included.
-std::size_t size_of(const Holding& holding);
+std::size_t size_of(const ProxySnapshot& holding);
 // What waits for a proxy when `lines` more come to `waiting` that do: merged, so that it never passes what
 // the whole of its tables would be, head included.
-double merged(double waiting, std::size_t lines, const Holding& standing, double head_lines);
+double merged(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines);
 
 // Whether a proxy that goes on with `given` could send where `standing` would not let it: to a replica that
 // is no longer there, or with less than half of its former weight.
-bool presses(const Holding& given, const Holding& standing);
+bool presses(const ProxySnapshot& given, const ProxySnapshot& standing);
 
 }  // namespace ospreypost::book
--- a/src/book/pushes.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -1,12 +1,12 @@
-#include "book/pushes.h"
+#include "routing_state/push_scheduler.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-#include "book/handouts.h"
+#include "routing_state/pull_delivery.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 namespace {
 
 using namespace std::chrono_literals;
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-Pushes::Pushes(const PushLimits& limits) : limits_(limits), limit_(limits.messages_allowed, limits.window) {}
+PushScheduler::PushScheduler(const PushLimits& limits) : limits_(limits), limit_(limits.max_messages_per_window, limits.window) {}
 
-void Pushes::introduce(Nanos now, ProxyId proxy) {
+void PushScheduler::introduce(Nanos now, ProxyId proxy) {
   auto& fresh = proxies_[proxy];
   fresh.bucket = limit_.full(now);
   fresh.not_before = now;
 }
 
-void Pushes::joined(Nanos now, ProxyId id, bool fresh) {
+void PushScheduler::joined(Nanos now, ProxyId id, bool fresh) {
   auto& proxy = proxies_.at(id);
   wait(proxy, 0);
   // Who has a table had messages of somebody: of this process before it gave up, of another, of its own past.
@@ -39,9 +39,9 @@
   proxy.spoke = proxy.not_before = now;
 }
 
-bool Pushes::met(Nanos now, ProxyId id, std::optional<VersionNumber> version) {
+bool PushScheduler::met(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
   const auto& proxy = proxies_.at(id);
-  const auto is = [&](const std::shared_ptr<const Holding>& holding) {
+  const auto is = [&](const std::shared_ptr<const ProxySnapshot>& holding) {
     return version ? holding && holding->since == *version : !holding;
   };
   // Before the first push it goes by what it came with, and is waited for like that.
@@ -54,14 +54,14 @@
   return true;
 }
 
-void Pushes::wait(Proxy& proxy, double lines) {
+void PushScheduler::wait(Proxy& proxy, double lines) {
   counts_.waiting += lines - proxy.waiting;
   proxy.waiting = lines;
   counts_.worst_waiting = std::max(counts_.worst_waiting, counts_.waiting);
 }
 
 // A withdrawal presses from when it was ordered, until it is confirmed or taken back.
-void Pushes::press(Nanos now, Proxy& proxy) const {
+void PushScheduler::press(Nanos now, Proxy& proxy) const {
   const bool by_given = proxy.given ? presses(*proxy.given, *proxy.standing) : !proxy.fresh;
   const bool by_sent = proxy.sent && presses(*proxy.sent, *proxy.standing);
   const bool presses = by_given || by_sent || proxy.recall;
@@ -69,29 +69,29 @@
   if (presses && !proxy.pressing_since) proxy.pressing_since = now;
 }
 
-void Pushes::went_back(Nanos now, ProxyId id, std::set<ReplicaId> instead) {
+void PushScheduler::went_back(Nanos now, ProxyId id, std::set<ReplicaId> instead) {
   auto& proxy = proxies_.at(id);
   if (!proxy.joined || !proxy.standing) return;
   // The proxy was shown other tables, by whomever.
-  if (!instead.empty() && instead != proxy.instead) TokenLimit::take(proxy.bucket);
+  if (!instead.empty() && instead != proxy.instead) TokenBucketLimiter::take(proxy.bucket);
   proxy.instead = std::move(instead);
   note_recall(now, proxy);
 }
 
-void Pushes::note_recall(Nanos now, Proxy& proxy) const {
+void PushScheduler::note_recall(Nanos now, Proxy& proxy) const {
   proxy.recall = std::any_of(proxy.instead.begin(), proxy.instead.end(),
                              [&](ReplicaId replica) { return out_.contains(replica); });
   press(now, proxy);
 }
 
-void Pushes::out(Nanos now, std::set<ReplicaId> replicas) {
+void PushScheduler::out(Nanos now, std::set<ReplicaId> replicas) {
   out_ = std::move(replicas);
   for (auto& [id, proxy] : proxies_) {
     if (!proxy.instead.empty()) note_recall(now, proxy);
   }
 }
 
-void Pushes::ordered(Nanos now, ProxyId id, std::shared_ptr<const Holding> holding, std::size_t lines) {
+void PushScheduler::ordered(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end() || !known->second.joined) return;
   auto& proxy = known->second;
@@ -103,7 +103,7 @@
   if (proxy.pressing_since && !pressed) proxy.not_before = std::min(proxy.not_before, now);
 }
 
-std::optional<Offer> Pushes::next(Nanos now) {
+std::optional<PendingPush> PushScheduler::next(Nanos now) {
   // Withdrawals by age, then proxies that have nothing at all, then plain changes, then signs of life.
   std::pair<const ProxyId, Proxy>* best = nullptr;
   std::tuple<int, Nanos> best_rank;
@@ -125,17 +125,17 @@
   if (!best) return std::nullopt;
   auto& proxy = best->second;
   proxy.under_way = true;
-  if (std::get<0>(best_rank) == 3) return Offer{best->first, nullptr, false};
+  if (std::get<0>(best_rank) == 3) return PendingPush{best->first, nullptr, false};
   if (proxy.sent != proxy.standing || proxy.recall) {
-    TokenLimit::take(proxy.bucket);
+    TokenBucketLimiter::take(proxy.bucket);
     channel_free_ = std::max(channel_free_, now) + nanos(proxy.waiting / limits_.lines_per_second);
   }
   proxy.sent = proxy.standing;
   ++counts_.pushes;
-  return Offer{best->first, proxy.sent, !proxy.instead.empty()};
+  return PendingPush{best->first, proxy.sent, !proxy.instead.empty()};
 }
 
-std::optional<Nanos> Pushes::wake(Nanos now) const {
+std::optional<Nanos> PushScheduler::wake(Nanos now) const {
   std::optional<Nanos> first;
   for (const auto& [id, proxy] : proxies_) {
     if (proxy.under_way) continue;
@@ -150,7 +150,7 @@
   return first;
 }
 
-void Pushes::taken(Nanos now, ProxyId id, VersionNumber since) {
+void PushScheduler::taken(Nanos now, ProxyId id, SnapshotVersion since) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
@@ -167,7 +167,7 @@
   press(now, proxy);
 }
 
-void Pushes::failed(Nanos now, ProxyId id) {
+void PushScheduler::failed(Nanos now, ProxyId id) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
@@ -177,7 +177,7 @@
   proxy.not_before = now + proxy.pause;
 }
 
-std::vector<ProxyId> Pushes::lost(Nanos now) {
+std::vector<ProxyId> PushScheduler::lost(Nanos now) {
   std::vector<ProxyId> given_up;
   for (auto& [id, proxy] : proxies_) {
     const bool unheld = proxy.pressing_since && now >= *proxy.pressing_since + limits_.press_most;
@@ -190,7 +190,7 @@
   return given_up;
 }
 
-void Pushes::give_up(Proxy& proxy) {
+void PushScheduler::give_up(Proxy& proxy) {
   wait(proxy, 0);
   proxy.joined = false;
   proxy.given = proxy.sent = proxy.standing = nullptr;
@@ -199,7 +199,7 @@
   proxy.pressing_since.reset();
 }
 
-void Pushes::refused(Nanos now, ProxyId id) {
+void PushScheduler::refused(Nanos now, ProxyId id) {
   failed(now, id);
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
@@ -207,7 +207,7 @@
   known->second.not_before = now + kPauseMost;
 }
 
-bool Pushes::held(ProxyId id) const {
+bool PushScheduler::held(ProxyId id) const {
   const auto known = proxies_.find(id);
   return known != proxies_.end() && known->second.joined;
 }
--- a/src/book/pushes.h
+++ b/src/routing_state/push_scheduler.h
@@ -12,29 +12,29 @@
 #include <set>
 #include <vector>
 
-#include "book/tokens.h"
-#include "book/version.h"
+#include "routing_state/token_bucket_limiter.h"
+#include "routing_state/routing_snapshot.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
 struct PushLimits {
   double head_lines = 0;             // of each message
   double lines_per_second = 1;       // of the channel; withdrawals do not wait for it
-  std::size_t messages_allowed = 0;  // to one proxy within the window; 0: no limit
+  std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
   Nanos press_most{};  // that a withdrawal may stay unconfirmed: the grace less the way there
   Nanos renew{};       // between two signs of life to a proxy that nothing is ordered for
 };
 
-struct Offer {
+struct PendingPush {
   ProxyId proxy{};
-  std::shared_ptr<const Holding> holding;
+  std::shared_ptr<const ProxySnapshot> holding;
   bool recall = false;  // in place of what somebody went back to by hand
 };
 
-class Pushes {
+class PushScheduler {
  public:
-  explicit Pushes(const PushLimits& limits);
+  explicit PushScheduler(const PushLimits& limits);
 
   // Known from the start; tried at once and, while it does not answer, after growing pauses.
   void introduce(Nanos now, ProxyId proxy);
@@ -42,21 +42,21 @@
   void joined(Nanos now, ProxyId proxy, bool fresh);
   // It answered a sign of life: the newest that lies there is of that version, or nothing does. True if it
   // joins by that, anew if what lies there is not what it was sent.
-  bool met(Nanos now, ProxyId proxy, std::optional<VersionNumber> version);
+  bool met(Nanos now, ProxyId proxy, std::optional<SnapshotVersion> version);
   // Somebody went back by hand to tables of these replicas. That stands until something newer is ordered, or
   // one of them may be sent to no more: then it is recalled, as pressing as any withdrawal.
   void went_back(Nanos now, ProxyId proxy, std::set<ReplicaId> instead);
   // Whom nobody may send to now.
   void out(Nanos now, std::set<ReplicaId> replicas);
-  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const Holding> holding, std::size_t lines);
+  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines);
 
   // What should be sent now, if anything; it counts as under way until `taken` or `failed`. A null holding
   // asks for a sign of life only.
-  std::optional<Offer> next(Nanos now);
+  std::optional<PendingPush> next(Nanos now);
   // When `next` could have something to offer without anything else happening; empty if never.
   std::optional<Nanos> wake(Nanos now) const;
   // It has confirmed what was under way, and goes by it.
-  void taken(Nanos now, ProxyId proxy, VersionNumber since);
+  void taken(Nanos now, ProxyId proxy, SnapshotVersion since);
   // Refused, lost, or not in time: what it goes by is unknown.
   void failed(Nanos now, ProxyId proxy);
   // Refused by one that follows somebody else: it is not ours, until it joins again.
@@ -75,13 +75,13 @@
   struct Proxy {
     bool joined = false, under_way = false, fresh = true;
     // Confirmed; being sent; ordered. Null: nothing yet.
-    std::shared_ptr<const Holding> given, sent, standing;
+    std::shared_ptr<const ProxySnapshot> given, sent, standing;
     // With what it may go by, it could send where it must not: since when. A failed push may have been taken.
     std::optional<Nanos> pressing_since;
     std::set<ReplicaId> instead;  // of its tables, if somebody went back
     bool recall = false;
     double waiting = 0;
-    TokenLimit::Bucket bucket;
+    TokenBucketLimiter::Bucket bucket;
     Nanos not_before{}, spoke{};
     Nanos pause{};
   };
@@ -94,7 +94,7 @@
   void give_up(Proxy& proxy);
 
   const PushLimits limits_;
-  const TokenLimit limit_;
+  const TokenBucketLimiter limit_;
   std::map<ProxyId, Proxy> proxies_;
   std::set<ReplicaId> out_;
   Nanos channel_free_{};  // when what was sent so far has passed the channel
--- a/src/book/version.h
+++ b/src/routing_state/routing_snapshot.h
@@ -6,42 +6,42 @@
 #include <memory>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
-enum class VersionNumber : std::uint64_t {};
+enum class SnapshotVersion : std::uint64_t {};
 
-struct Line {
+struct TableEntry {
   ReplicaId replica{};
   double weight = 0;  // above 0, relative to the other lines
-  bool operator==(const Line&) const = default;
+  bool operator==(const TableEntry&) const = default;
 };
 
 // How operations of one class are let in and tried again.
-struct Terms {
+struct TrafficPolicy {
   double level = 1;  // 0 to 1: the share that is let in
-  Retry retry = Retry::after_proof;
-  bool operator==(const Terms&) const = default;
+  RetryMode retry = RetryMode::after_rejection_proof;
+  bool operator==(const TrafficPolicy&) const = default;
 };
 
 // One table as it may be used: without what is withdrawn, by ascending replica.
-struct View {
-  std::vector<Line> lines;
-  std::vector<Terms> terms;  // by class
-  bool operator==(const View&) const = default;
+struct RoutingTable {
+  std::vector<TableEntry> lines;
+  std::vector<TrafficPolicy> terms;  // by class
+  bool operator==(const RoutingTable&) const = default;
 };
 
 // What one proxy is to hold: a view for each class; null where it is bound to no table for that class.
-struct Holding {
-  VersionNumber since{};  // the version that last changed it
-  std::vector<std::shared_ptr<const View>> views;
+struct ProxySnapshot {
+  SnapshotVersion since{};  // the version that last changed it
+  std::vector<std::shared_ptr<const RoutingTable>> views;
 };
 
-struct Version {
-  VersionNumber number{};
+struct RoutingSnapshot {
+  SnapshotVersion number{};
   Nanos at{};
-  std::vector<std::pair<ProxyId, std::shared_ptr<const Holding>>> holdings;  // by ascending proxy
+  std::vector<std::pair<ProxyId, std::shared_ptr<const ProxySnapshot>>> holdings;  // by ascending proxy
 
   // Who a mark made with this version asks for an answer: whom it changed, or everybody.
   std::vector<ProxyId> marked(bool reach_all) const {
@@ -53,7 +53,7 @@
   }
 
   // Null for a proxy that has not joined or is bound to nothing yet.
-  std::shared_ptr<const Holding> holding_of(ProxyId proxy) const {
+  std::shared_ptr<const ProxySnapshot> holding_of(ProxyId proxy) const {
     const auto at_or_after = std::lower_bound(holdings.begin(), holdings.end(), proxy,
                                               [](const auto& entry, ProxyId id) { return entry.first < id; });
     if (at_or_after == holdings.end() || at_or_after->first != proxy) return nullptr;
--- a/src/book/order_book.cpp
+++ b/src/routing_state/routing_state.cpp
@@ -1,19 +1,19 @@
-#include "book/order_book.h"
+#include "routing_state/routing_state.h"
 
 #include <algorithm>
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
-OrderBook::OrderBook(std::size_t classes) : classes_(classes), terms_(classes) {}
+RoutingState::RoutingState(std::size_t classes) : classes_(classes), terms_(classes) {}
 
-void OrderBook::set_line(TableId id, ReplicaId replica, double weight) {
+void RoutingState::set_table_entry(TableId id, ReplicaId replica, double weight) {
   auto& table = tables_[id];
   weight > 0 ? void(table.lines[replica] = weight) : void(table.lines.erase(replica));
   ++table.ordered;
   touched_.insert(id);
 }
 
-void OrderBook::clear_table(TableId id) {
+void RoutingState::clear_table(TableId id) {
   auto& table = tables_[id];
   table.lines.clear();
   table.terms.clear();
@@ -21,7 +21,7 @@
   touched_.insert(id);
 }
 
-void OrderBook::bind(ProxyId id, TableId table, ClassMask classes) {
+void RoutingState::bind(ProxyId id, TableId table, ClassMask classes) {
   const auto proxy = proxies_.find(id);
   if (proxy == proxies_.end()) return;  // it left in between
   // A table that nobody has written yet is empty, but under the levels that hold for all.
@@ -30,7 +30,7 @@
   rebound_.insert(id);
 }
 
-void OrderBook::withdraw(ReplicaId replica, bool out) {
+void RoutingState::set_ejected(ReplicaId replica, bool out) {
   const bool changes = out ? withdrawn_.insert(replica).second : withdrawn_.erase(replica) > 0;
   if (!changes) return;
   for (auto& [id, table] : tables_) {
@@ -40,14 +40,14 @@
   }
 }
 
-void OrderBook::set_level(TableId id, ClassMask classes, double level, Retry retry) {
+void RoutingState::set_admitted_fraction(TableId id, ClassMask classes, double level, RetryMode retry) {
   const auto touch = [&](TableId of, Table& table) {
     ++table.ordered;
     touched_.insert(of);
   };
-  const Terms terms{std::clamp(level, 0.0, 1.0), retry};
+  const TrafficPolicy terms{std::clamp(level, 0.0, 1.0), retry};
   for (const auto k : named(classes)) {
-    if (id != kEveryTable) {
+    if (id != kAllTables) {
       tables_[id].terms[k] = terms;
       touch(id, tables_[id]);
       continue;
@@ -57,17 +57,17 @@
   }
 }
 
-void OrderBook::joined(ProxyId proxy) {
+void RoutingState::joined(ProxyId proxy) {
   proxies_[proxy] = Proxy{std::vector<std::optional<TableId>>(classes_), nullptr};
   members_changed_ = true;
 }
 
-void OrderBook::left(ProxyId proxy) {
+void RoutingState::left(ProxyId proxy) {
   members_changed_ = proxies_.erase(proxy) > 0 || members_changed_;
   rebound_.erase(proxy);
 }
 
-std::vector<std::size_t> OrderBook::named(ClassMask classes) const {
+std::vector<std::size_t> RoutingState::named(ClassMask classes) const {
   std::vector<std::size_t> found;
   for (std::size_t k = 0; k < classes_; ++k) {
     if (classes == 0 || (classes >> k & 1u)) found.push_back(k);
@@ -75,8 +75,8 @@
   return found;
 }
 
-View OrderBook::view_of(const Table& table) const {
-  View view{{}, terms_};
+RoutingTable RoutingState::view_of(const Table& table) const {
+  RoutingTable view{{}, terms_};
   view.lines.reserve(table.lines.size());
   for (const auto& [replica, weight] : table.lines) {
     if (!withdrawn_.contains(replica)) view.lines.push_back({replica, weight});
@@ -87,14 +87,14 @@
   return view;
 }
 
-bool OrderBook::renew(Table& table) const {
+bool RoutingState::renew(Table& table) const {
   auto view = view_of(table);
   if (view == *table.view) return false;
-  table.view = std::make_shared<const View>(std::move(view));
+  table.view = std::make_shared<const RoutingTable>(std::move(view));
   return true;
 }
 
-std::optional<OrderBook::Published> OrderBook::publish(Nanos now) {
+std::optional<RoutingState::Published> RoutingState::publish(Nanos now) {
   std::set<TableId> renewed;
   for (const auto id : touched_) {
     if (renew(tables_.at(id))) renewed.insert(id);
@@ -105,8 +105,8 @@
     return std::nullopt;
   }
 
-  last_ = VersionNumber{static_cast<std::uint64_t>(last_) + 1};
-  auto version = std::make_shared<Version>();
+  last_ = SnapshotVersion{static_cast<std::uint64_t>(last_) + 1};
+  auto version = std::make_shared<RoutingSnapshot>();
   version->number = last_;
   version->at = now;
   version->holdings.reserve(proxies_.size());
@@ -124,7 +124,7 @@
       if (!bound_anew && renewed.contains(table)) lines += tables_.at(table).ordered;
     }
     if (lines > 0) {
-      auto holding = std::make_shared<Holding>();
+      auto holding = std::make_shared<ProxySnapshot>();
       holding->since = last_;
       for (const auto& table : proxy.tables) {
         holding->views.push_back(table ? tables_.at(*table).view : nullptr);
--- a/src/book/order_book.h
+++ b/src/routing_state/routing_state.h
@@ -8,19 +8,19 @@
 #include <set>
 #include <vector>
 
-#include "book/version.h"
+#include "routing_state/routing_snapshot.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
-class OrderBook {
+class RoutingState {
  public:
-  explicit OrderBook(std::size_t classes);
+  explicit RoutingState(std::size_t classes);
 
-  void set_line(TableId table, ReplicaId replica, double weight);  // weight 0 removes it
+  void set_table_entry(TableId table, ReplicaId replica, double weight);  // weight 0 removes it
   void clear_table(TableId table);
   void bind(ProxyId proxy, TableId table, ClassMask classes);
-  void withdraw(ReplicaId replica, bool out);
-  void set_level(TableId table, ClassMask classes, double level, Retry retry);
+  void set_ejected(ReplicaId replica, bool out);
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry);
   void joined(ProxyId proxy);  // bound to nothing until a binding comes
   void left(ProxyId proxy);
 
@@ -33,7 +33,7 @@
     std::size_t lines = 0;
   };
   struct Published {
-    std::shared_ptr<const Version> version;
+    std::shared_ptr<const RoutingSnapshot> version;
     std::vector<Pending> pending;  // by ascending proxy
   };
   // The orders since the last call as one version; empty if they changed nothing that anybody may use.
@@ -42,27 +42,27 @@
  private:
   struct Table {
     std::map<ReplicaId, double> lines;
-    std::map<std::size_t, Terms> terms;  // its own, by class
-    std::shared_ptr<const View> view = std::make_shared<const View>();
+    std::map<std::size_t, TrafficPolicy> terms;  // its own, by class
+    std::shared_ptr<const RoutingTable> view = std::make_shared<const RoutingTable>();
     std::size_t ordered = 0;  // lines since the last version
   };
   struct Proxy {
     std::vector<std::optional<TableId>> tables;  // by class
-    std::shared_ptr<const Holding> holding;
+    std::shared_ptr<const ProxySnapshot> holding;
   };
   std::vector<std::size_t> named(ClassMask classes) const;
-  View view_of(const Table& table) const;
+  RoutingTable view_of(const Table& table) const;
   bool renew(Table& table) const;
 
   const std::size_t classes_;
   std::map<TableId, Table> tables_;
   std::map<ProxyId, Proxy> proxies_;
   std::set<ReplicaId> withdrawn_;
-  std::vector<Terms> terms_;  // for every table
+  std::vector<TrafficPolicy> terms_;  // for every table
   std::set<TableId> touched_;
   std::set<ProxyId> rebound_;
   bool members_changed_ = false;
-  VersionNumber last_{};
+  SnapshotVersion last_{};
 };
 
 }  // namespace ospreypost::book
--- a/src/book/tokens.h
+++ b/src/routing_state/token_bucket_limiter.h
@@ -4,16 +4,16 @@
 #include <algorithm>
 #include <chrono>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 
 // The limit as a bucket: so deep, and so many tokens a second. With a depth of B and a pace of (allowed - B)
 // a window, no window holds more than allowed.
-class TokenLimit {
+class TokenBucketLimiter {
  public:
   // `allowed` 0: no limit.
-  TokenLimit(std::size_t allowed, Nanos window)
+  TokenBucketLimiter(std::size_t allowed, Nanos window)
       : limited_(allowed > 0),
         depth_(std::clamp(static_cast<double>(allowed) - 1, 1.0, kDepth)),
         per_second_(std::max(0.0, static_cast<double>(allowed) - depth_) /
--- a/src/day/child.cpp
+++ b/src/scenario/child_process.cpp
@@ -1,4 +1,4 @@
-#include "day/child.h"
+#include "scenario/child_process.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -14,7 +14,7 @@
 
 extern char** environ;
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 constexpr int kStartMilliseconds = 5000;
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Child::Child(const std::string& program, std::vector<std::string> words) {
+ChildProcess::ChildProcess(const std::string& program, std::vector<std::string> words) {
   std::array<int, 2> ends{};
   if (::pipe2(ends.data(), O_CLOEXEC) != 0) throw net::Error("no pipe for the governor");
   posix_spawn_file_actions_t actions;
@@ -64,7 +64,7 @@
   throw net::Error("`" + words[1] + "` did not start");
 }
 
-int Child::wait() {
+int ChildProcess::wait() {
   int status = 0;
   while (::waitpid(process_, &status, 0) < 0 && errno == EINTR) {
   }
@@ -72,24 +72,24 @@
   return status;
 }
 
-void Child::fill_disk(bool full) {
+void ChildProcess::fill_disk(bool full) {
   rlimit limit{};
   if (process_ < 0 || ::prlimit(process_, RLIMIT_FSIZE, nullptr, &limit) != 0) return;
   limit.rlim_cur = full ? 0 : limit.rlim_max;
   ::prlimit(process_, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-void Child::pause(bool paused) {
+void ChildProcess::pause(bool paused) {
   if (process_ >= 0) ::kill(process_, paused ? SIGSTOP : SIGCONT);
 }
 
-void Child::kill() {
+void ChildProcess::kill() {
   if (process_ < 0) return;
   ::kill(process_, SIGKILL);
   wait();
 }
 
-net::Steady::duration Child::stop() {
+net::Steady::duration ChildProcess::stop() {
   const auto asked = net::Steady::now();
   if (process_ < 0) return {};
   ::kill(process_, SIGTERM);
--- a/src/day/child.h
+++ b/src/scenario/child_process.h
@@ -8,14 +8,14 @@
 
 #include "net/socket.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 
-class Child {
+class ChildProcess {
  public:
   // Starts the program with these words and waits until it says that it serves. Throws net::Error if it does
   // not.
-  Child(const std::string& program, std::vector<std::string> words);
-  ~Child() { kill(); }
+  ChildProcess(const std::string& program, std::vector<std::string> words);
+  ~ChildProcess() { kill(); }
   // From now on it cannot write a byte to any file; or it can again.
   void fill_disk(bool full);
   // Stands still, or goes on (SIGSTOP, SIGCONT).
--- a/src/day/composed.cpp
+++ b/src/scenario/composed.cpp
@@ -1,9 +1,9 @@
-#include "day/composed.h"
+#include "scenario/composed.h"
 
 #include <algorithm>
 #include <map>
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 using config::Element;
@@ -13,7 +13,7 @@
   return element.find(attribute) ? element.words(attribute) : std::vector<std::string>{};
 }
 
-std::vector<std::string> replicas_of(const Script& script, const std::string& zone) {
+std::vector<std::string> replicas_of(const Scenario& script, const std::string& zone) {
   std::vector<std::string> names;
   for (const auto& group : script.replicas) {
     for (std::size_t n = 0; group.zone == zone && n < group.count; ++n)
@@ -22,8 +22,8 @@
   return names;
 }
 
-Trouble trouble_of(TroubleKind kind, const char* text, Nanos at, Nanos lasts, std::vector<std::string> whom) {
-  Trouble trouble;
+Fault trouble_of(TroubleKind kind, const char* text, Nanos at, Nanos lasts, std::vector<std::string> whom) {
+  Fault trouble;
   trouble.kind = kind;
   trouble.text = text;
   trouble.at = at;
@@ -33,10 +33,10 @@
 }
 
 // Again and again, for a part of each turn.
-std::vector<Trouble> again(const Element& element, const Trouble& once) {
+std::vector<Fault> again(const Element& element, const Fault& once) {
   const Nanos every = element.time("every");
   if (once.lasts >= every) element.fail("has no time between one and the next");
-  std::vector<Trouble> troubles;
+  std::vector<Fault> troubles;
   const Nanos begin = element.time("at"), end = begin + element.time("for");
   for (Nanos at = begin; at + once.lasts <= end; at += every) {
     troubles.push_back(once);
@@ -45,23 +45,23 @@
   return troubles;
 }
 
-std::vector<Trouble> pauses(const Element& element, const Script&) {
+std::vector<Fault> pauses(const Element& element, const Scenario&) {
   return again(element,
                trouble_of(TroubleKind::pause, "pause", {}, element.time("pause"), element.words("replicas")));
 }
 
-std::vector<Trouble> balancer_stall(const Element& element, const Script&) {
+std::vector<Fault> balancer_stall(const Element& element, const Scenario&) {
   const auto proxies = words_or_none(element, "proxies");
   const auto kind = proxies.empty() ? TroubleKind::governor_still : TroubleKind::proxy_still;
   return again(element, trouble_of(kind, "still", {}, element.time("stall"), proxies));
 }
 
 // Batch after batch leaves and comes back cold; the next begins when the one before is back.
-std::vector<Trouble> deploy(const Element& element, const Script&) {
+std::vector<Fault> deploy(const Element& element, const Scenario&) {
   const auto replicas = element.words("replicas");
   const auto batch = static_cast<std::size_t>(element.number("batch"));
   const Nanos leaves = element.time("leaves"), down = element.time("down"), pace = element.time("pace");
-  std::vector<Trouble> troubles;
+  std::vector<Fault> troubles;
   Nanos at = element.time("at");
   for (std::size_t n = 0; n < replicas.size(); n += batch, at += leaves + down + pace) {
     const auto from = replicas.begin() + static_cast<std::ptrdiff_t>(n);
@@ -72,7 +72,7 @@
   return troubles;
 }
 
-std::vector<Trouble> mass_restart(const Element& element, const Script&) {
+std::vector<Fault> mass_restart(const Element& element, const Scenario&) {
   auto crash = trouble_of(TroubleKind::crash, "crash", element.time("at"), element.time("for"),
                           element.words("replicas"));
   crash.second = element.time("notice");
@@ -81,7 +81,7 @@
 }
 
 // The machine room is gone: its replicas die or fall silent, and, if it says so, its proxies stand still.
-std::vector<Trouble> zone_loss(const Element& element, const Script& script) {
+std::vector<Fault> zone_loss(const Element& element, const Scenario& script) {
   const auto replicas = replicas_of(script, element.text("zone"));
   if (replicas.empty()) element.fail("no replica is in that zone");
   const bool silent = element.yes("silent");
@@ -90,19 +90,19 @@
                          lasts, replicas);
   loss.second = element.time("notice");
   if (loss.second > lasts) element.fail("is over before it is noticed");
-  std::vector<Trouble> troubles = {loss};
+  std::vector<Fault> troubles = {loss};
   if (const auto proxies = words_or_none(element, "proxies"); !proxies.empty())
     troubles.push_back(trouble_of(TroubleKind::proxy_still, "still", at, lasts, proxies));
   return troubles;
 }
 
 // They reach no governor, whatever answers in its place.
-std::vector<Trouble> counter_down(const Element& element, const Script&) {
+std::vector<Fault> counter_down(const Element& element, const Scenario&) {
   return {
       trouble_of(TroubleKind::cut, "cut", element.time("at"), element.time("for"), element.words("proxies"))};
 }
 
-using Compose = std::vector<Trouble> (*)(const Element&, const Script&);
+using Compose = std::vector<Fault> (*)(const Element&, const Scenario&);
 const std::map<std::string, Compose>& composers() {
   static const std::map<std::string, Compose> all = {
       {"pauses", pauses},       {"balancer-stall", balancer_stall}, {"deploy", deploy},
@@ -114,7 +114,7 @@
 
 bool is_composed(const Element& element) { return composers().contains(element.name()); }
 
-std::vector<Trouble> compose(const Element& element, const Script& script) {
+std::vector<Fault> compose(const Element& element, const Scenario& script) {
   return composers().at(element.name())(element, script);
 }
 
--- a/src/day/composed.h
+++ b/src/scenario/composed.h
@@ -3,12 +3,12 @@
 
 #include <vector>
 
-#include "day/script.h"
+#include "scenario/scenario.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 
 bool is_composed(const config::Element& element);
 // Throws config::Faulty. The script must have its fleet.
-std::vector<Trouble> compose(const config::Element& element, const Script& script);
+std::vector<Fault> compose(const config::Element& element, const Scenario& script);
 
 }  // namespace ospreypost::day
--- a/src/day/run.cpp
+++ b/src/scenario/run.cpp
@@ -1,4 +1,4 @@
-#include "day/run.h"
+#include "scenario/run.h"
 
 #include <stdlib.h>
 
@@ -9,12 +9,12 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "day/child.h"
-#include "day/stage.h"
+#include "scenario/child_process.h"
+#include "scenario/test_environment.h"
 #include "http/http.h"
 #include "terms/limits.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 using namespace std::chrono_literals;
@@ -48,7 +48,7 @@
 }
 
 // What bursts bring beyond the usual: drawn apart, so that a day without them stays as it was.
-void add_bursts(const Script& script, const config::Config& config, std::vector<Arrival>& arrivals) {
+void add_bursts(const Scenario& script, const config::Config& config, std::vector<Arrival>& arrivals) {
   std::mt19937 chance(script.seed + 1);
   double usual = 0;
   for (const auto& proxy : config.proxies.known) usual += proxy.usual_rate;
@@ -74,7 +74,7 @@
 }
 
 // Poisson streams of all proxies and classes, merged; the seed decides.
-std::vector<Arrival> arrivals_of(const Script& script, const config::Config& config) {
+std::vector<Arrival> arrivals_of(const Scenario& script, const config::Config& config) {
   std::mt19937 chance(script.seed);
   std::vector<Arrival> arrivals;
   double usual = 0;
@@ -103,7 +103,7 @@
 
 class Run {
  public:
-  Run(const Script& script, const PlayOptions& options)
+  Run(const Scenario& script, const PlayOptions& options)
       : script_(script),
         options_(options),
         config_(config::read_config(script.governor_path)),
@@ -124,7 +124,7 @@
     if (options_.folder.empty()) std::filesystem::remove_all(folder_, ignored);
   }
 
-  Played play() {
+  ScenarioResult play() {
     if (options_.equal_weights) {
       stage_->start_with_equal_weights();
     } else {
@@ -143,20 +143,20 @@
     sleep_until(begin_ + script_.length);
     hand.join();
     Nanos longest{};
-    for (const auto& cls : config_.settings.classes) longest = std::max(longest, cls.abandon_time);
+    for (const auto& cls : config_.settings.classes) longest = std::max(longest, cls.request_deadline);
     sleep_until(begin_ + script_.length + longest);
     const auto end = now();
     if (governor_) governor_->pause(false);  // it may still stand, and must be asked
     count_waiting();
-    Played played;
+    ScenarioResult played;
     played.stop_took = governor_ ? governor_->stop() : Nanos{};
-    trace_.add(judge::Governing{now(), false});
+    trace_.add(checker::Governing{now(), false});
     second_.reset();
     stage_->stop();
     const auto limits = limits_of();
-    played.verdict = judge::judge(trace_, limits, end, worst_waiting_);
+    played.verdict = checker::judge(trace_, limits, end, worst_waiting_);
     played.timeline = timeline_;
-    played.service_by_second = judge::service_by_second(trace_, limits, begin_, begin_ + script_.length);
+    played.service_by_second = checker::service_by_second(trace_, limits, begin_, begin_ + script_.length);
     played.folder = folder_.string();
     return played;
   }
@@ -165,14 +165,14 @@
   void raise_governor() {
     if (options_.equal_weights) return;
     governor_.emplace(options_.program, std::vector<std::string>{"serve", config_path_});
-    trace_.add(judge::Governing{now(), true});
+    trace_.add(checker::Governing{now(), true});
   }
 
   // What it is told meanwhile it learns when it goes on.
   void hold_governor(bool still) {
     if (!governor_) return;
     governor_->pause(still);
-    trace_.add(judge::Governing{now(), !still});
+    trace_.add(checker::Governing{now(), !still});
   }
 
   void count_waiting() {
@@ -215,12 +215,12 @@
   }
 
   template <typename Add>
-  void add_trouble(const Trouble& trouble, Add add) {
+  void add_trouble(const Fault& trouble, Add add) {
     auto& roll = stage_->roll();
     const auto end = trouble.at + trouble.lasts;
     const auto back = [this, &roll](const std::string& name) {
       stage_->replica(name).start(true);
-      roll.list(name, judge::Phase::ready, true);
+      roll.list(name, checker::EndpointPhase::ready, true);
     };
     // Something that holds from its beginning to its end.
     const auto each = [&](const std::string& begins, const std::string& ends, auto hold) {
@@ -229,7 +229,7 @@
         add(end, ends + name, [hold, name] { hold(name, false); });
       }
     };
-    const auto listed_gone = [&roll](const std::string& name) { roll.list(name, judge::Phase::gone, false); };
+    const auto listed_gone = [&roll](const std::string& name) { roll.list(name, checker::EndpointPhase::gone, false); };
     // A replica leaves in two steps, and is back cold.
     const auto leaves = [&](const std::string& begins, const std::string& goes, auto begin, auto go) {
       for (const auto& name : trouble.whom) {
@@ -247,7 +247,7 @@
       case TroubleKind::drain:
         leaves(
             "drain ", "leaves ",
-            [&roll](const auto& name) { roll.list(name, judge::Phase::draining, false); },
+            [&roll](const auto& name) { roll.list(name, checker::EndpointPhase::draining, false); },
             [this, listed_gone](const auto& name) {
               listed_gone(name);
               stage_->replica(name).crash();
@@ -265,7 +265,7 @@
         each("pushes " + trouble.becomes + " ", "pushes prompt ",
              [this, carriage = carriage_of(trouble.becomes), by = trouble.second](const auto& name,
                                                                                   bool faulty) {
-               stage_->push_fault(name, faulty ? carriage : standin::Carriage::prompt, faulty ? by : Nanos{});
+               stage_->push_fault(name, faulty ? carriage : fakes::LinkFault::prompt, faulty ? by : Nanos{});
              });
         return;
       case TroubleKind::deaf:
@@ -290,14 +290,14 @@
         add(trouble.at, "governor killed", [this] {
           count_waiting();
           governor_.reset();
-          trace_.add(judge::Governing{now(), false});
+          trace_.add(checker::Governing{now(), false});
         });
         add(end, "governor starts", [this] { raise_governor(); });
         return;
       case TroubleKind::vanish:
         leaves(
             "vanish ", "gone from the roll ",
-            [this](const auto& name) { stage_->replica(name).suffer(standin::Fault::hang, 1); }, listed_gone);
+            [this](const auto& name) { stage_->replica(name).suffer(fakes::Fault::hang, 1); }, listed_gone);
         return;
       case TroubleKind::governor_still:
         add(trouble.at, "governor stands still", [this] { hold_governor(true); });
@@ -329,35 +329,35 @@
     }
     each(trouble.text + " ", "well again ",
          [this, fault = fault_of(trouble.kind), factor = trouble.factor](const auto& name, bool suffers) {
-           stage_->replica(name).suffer(suffers ? fault : standin::Fault::none, suffers ? factor : 1);
+           stage_->replica(name).suffer(suffers ? fault : fakes::Fault::none, suffers ? factor : 1);
          });
   }
 
-  static standin::Fault fault_of(TroubleKind kind) {
+  static fakes::Fault fault_of(TroubleKind kind) {
     switch (kind) {
       case TroubleKind::hang:
-        return standin::Fault::hang;
+        return fakes::Fault::hang;
       case TroubleKind::refuse:
-        return standin::Fault::refuse;
+        return fakes::Fault::refuse;
       case TroubleKind::fast_errors:
-        return standin::Fault::fast_errors;
+        return fakes::Fault::fast_errors;
       case TroubleKind::pause:
-        return standin::Fault::pause;
+        return fakes::Fault::pause;
       case TroubleKind::slow:
-        return standin::Fault::slow;
+        return fakes::Fault::slow;
       case TroubleKind::silent:
-        return standin::Fault::silent;
+        return fakes::Fault::silent;
       default:
-        return standin::Fault::none;
+        return fakes::Fault::none;
     }
   }
 
-  static standin::Carriage carriage_of(const std::string& word) {
-    using standin::Carriage;
-    if (word == "late") return Carriage::late;
-    if (word == "twice") return Carriage::twice;
-    if (word == "older") return Carriage::older;
-    return word == "torn" ? Carriage::torn : Carriage::slow;
+  static fakes::LinkFault carriage_of(const std::string& word) {
+    using fakes::LinkFault;
+    if (word == "late") return LinkFault::late;
+    if (word == "twice") return LinkFault::twice;
+    if (word == "older") return LinkFault::older;
+    return word == "torn" ? LinkFault::torn : LinkFault::slow;
   }
 
   void play_steps(const std::vector<Step>& steps) {
@@ -370,7 +370,7 @@
     }
   }
 
-  judge::Limits limits_of() const {
+  checker::Limits limits_of() const {
     auto limits = terms::limits_of(config_);
     limits.vouched.clear();
     for (const auto& proxy : config_.proxies.known) {
@@ -383,14 +383,14 @@
     return limits;
   }
 
-  const Script& script_;
+  const Scenario& script_;
   const PlayOptions& options_;
   const config::Config config_;
   const std::filesystem::path folder_;
   const std::string config_path_;
-  judge::Trace trace_;
-  std::optional<Stage> stage_;
-  std::optional<Child> governor_, second_;
+  checker::Trace trace_;
+  std::optional<TestEnvironment> stage_;
+  std::optional<ChildProcess> governor_, second_;
   Nanos begin_{};
   double worst_waiting_ = 0;
   std::vector<std::pair<Nanos, std::string>> timeline_;
@@ -398,6 +398,6 @@
 
 }  // namespace
 
-Played play(const Script& script, const PlayOptions& options) { return Run(script, options).play(); }
+ScenarioResult play(const Scenario& script, const PlayOptions& options) { return Run(script, options).play(); }
 
 }  // namespace ospreypost::day
--- a/src/day/run.h
+++ b/src/scenario/run.h
@@ -4,14 +4,14 @@
 #include <functional>
 #include <string>
 
-#include "day/script.h"
-#include "judge/judge.h"
-#include "standin/proxy.h"
+#include "scenario/scenario.h"
+#include "checker/invariant_checker.h"
+#include "fakes/proxy.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 
-struct Played {
-  judge::Verdict verdict;
+struct ScenarioResult {
+  checker::Verdict verdict;
   std::vector<std::pair<Nanos, std::string>> timeline;  // from the day's beginning
   std::vector<double> service_by_second;
   Nanos stop_took{};  // of the governor, when asked to end
@@ -22,7 +22,7 @@
   std::string program;         // the governor's executable
   std::string folder;          // empty: one of its own, removed afterwards
   bool equal_weights = false;  // no governor: all replicas, equal weights; only the service means anything
-  standin::Sabotage sabotage;
+  fakes::InjectedDefects sabotage;
   // Changes the governor's configuration behind the judge's back; may be empty.
   std::function<std::string(std::string)> rig;
   // Called as things happen; may be empty.
@@ -30,6 +30,6 @@
 };
 
 // Throws config::Faulty or net::Error.
-Played play(const Script& script, const PlayOptions& options);
+ScenarioResult play(const Scenario& script, const PlayOptions& options);
 
 }  // namespace ospreypost::day
