--- a/src/day/script.cpp
+++ b/src/scenario/scenario.cpp
@@ -1,13 +1,13 @@
-#include "day/script.h"
+#include "scenario/scenario.h"
 
 #include <algorithm>
 #include <filesystem>
 #include <random>
 
-#include "day/composed.h"
+#include "scenario/composed.h"
 #include "schemas.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 using config::Element;
@@ -43,8 +43,8 @@
          kind == TroubleKind::report_late;
 }
 
-Trouble read_trouble(const Element& element) {
-  Trouble trouble;
+Fault read_trouble(const Element& element) {
+  Fault trouble;
   for (const auto& [name, kind] : kKinds) {
     if (element.name() == name) trouble.kind = kind;
   }
@@ -73,8 +73,8 @@
   return trouble;
 }
 
-Deaths read_deaths(const Element& element) {
-  Deaths deaths;
+CrashSchedule read_deaths(const Element& element) {
+  CrashSchedule deaths;
   deaths.from = element.time("from");
   deaths.to = element.time("to");
   deaths.every = element.time("every");
@@ -89,7 +89,7 @@
   return deaths;
 }
 
-void read_fleet(const Element& fleet, Script& script) {
+void read_fleet(const Element& fleet, Scenario& script) {
   for (const auto& element : fleet.children()) {
     if (element.name() == "replicas") {
       script.replicas.push_back({element.text("zone"), element.find("kind").value_or(""),
@@ -111,10 +111,10 @@
 
 }  // namespace
 
-Script parse_script(std::string_view text, const std::string& label, const std::string& folder) {
+Scenario parse_script(std::string_view text, const std::string& label, const std::string& folder) {
   const config::Document document(text, label, config::kDaySchema);
   const auto root = document.root();
-  Script script;
+  Scenario script;
   script.name = root.text("name");
   script.length = root.time("length");
   script.seed = static_cast<std::uint32_t>(root.number("seed"));
@@ -138,8 +138,8 @@
   return script;
 }
 
-std::vector<Trouble> drawn(const Script& script) {
-  std::vector<Trouble> troubles;
+std::vector<Fault> drawn(const Scenario& script) {
+  std::vector<Fault> troubles;
   std::mt19937 chance(script.seed);
   const auto one_of = [&](const std::vector<std::string>& names) {
     return names[std::uniform_int_distribution<std::size_t>(0, names.size() - 1)(chance)];
@@ -148,7 +148,7 @@
     std::size_t turn = 0;
     for (Nanos at = deaths.from; at < deaths.to; at += deaths.every, ++turn) {
       // In turn, so that nobody drains who does already.
-      Trouble drain;
+      Fault drain;
       drain.kind = TroubleKind::drain;
       drain.at = at;
       drain.lasts = deaths.every * (deaths.replicas.size() - 1);
@@ -157,7 +157,7 @@
       troubles.push_back(drain);
       std::uniform_int_distribution<Nanos::rep> moment(0, deaths.within.count());
       const bool governor = std::uniform_real_distribution<double>(0, 1)(chance) < deaths.governor;
-      Trouble death;
+      Fault death;
       death.kind = governor ? TroubleKind::governor_killed : TroubleKind::receiver_killed;
       death.at = at + Nanos(moment(chance));
       death.lasts = deaths.off;
@@ -168,13 +168,13 @@
   return troubles;
 }
 
-Script read_script(const std::string& path) {
+Scenario read_script(const std::string& path) {
   return parse_script(config::read_file(path), path, std::filesystem::path(path).parent_path().string());
 }
 
-void check_names(const Script& script, const config::Config& config) {
+void check_names(const Scenario& script, const config::Config& config) {
   const auto need = [&](bool known, const std::string& what, const std::string& name) {
-    if (!known) throw config::Faulty("day " + script.name + ": there is no " + what + " '" + name + "'");
+    if (!known) throw config::ConfigError("day " + script.name + ": there is no " + what + " '" + name + "'");
   };
   std::vector<std::string> replicas, proxies;
   for (const auto& proxy : config.proxies.known) proxies.push_back(proxy.name);
--- a/src/day/script.h
+++ b/src/scenario/scenario.h
@@ -7,7 +7,7 @@
 
 #include "config/config.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 
 struct ReplicaGroup {
   std::string zone, kind;
@@ -55,7 +55,7 @@
   roll
 };
 
-struct Trouble {
+struct Fault {
   TroubleKind kind{};
   std::string text;  // as the file calls it
   Nanos at{}, lasts{};
@@ -66,13 +66,13 @@
 };
 
 // Again and again a replica drains, and while that is pushed the governor or a proxy's receiver dies.
-struct Deaths {
+struct CrashSchedule {
   Nanos from{}, to{}, every{}, off{}, within{};
   double governor = 0;  // share of the deaths that are the governor's
   std::vector<std::string> replicas, proxies;
 };
 
-struct Script {
+struct Scenario {
   std::string name;
   Nanos length{};
   std::uint32_t seed = 1;
@@ -81,15 +81,15 @@
   std::vector<ResolverBetween> resolvers;
   std::vector<Terminals> terminals;
   std::vector<ClassTraffic> traffic;
-  std::vector<Trouble> troubles;
-  std::vector<Deaths> deaths;
+  std::vector<Fault> troubles;
+  std::vector<CrashSchedule> deaths;
 };
 
 // Throws config::Faulty. Names are checked against the governor's configuration.
-Script parse_script(std::string_view text, const std::string& label, const std::string& folder);
-Script read_script(const std::string& path);
+Scenario parse_script(std::string_view text, const std::string& label, const std::string& folder);
+Scenario read_script(const std::string& path);
 // What the deaths come to, by the script's seed.
-std::vector<Trouble> drawn(const Script& script);
-void check_names(const Script& script, const config::Config& config);
+std::vector<Fault> drawn(const Scenario& script);
+void check_names(const Scenario& script, const config::Config& config);
 
 }  // namespace ospreypost::day
--- a/src/day/stage.cpp
+++ b/src/scenario/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "day/stage.h"
+#include "scenario/test_environment.h"
 
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 
 #include "schemas.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 constexpr int kReplicas = 1, kProxies = 2, kResolvers = 3, kReceivers = 4, kCouriers = 5;
@@ -19,12 +19,12 @@
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-std::vector<standin::OperationClass> classes_of(const Script& script, const config::Config& config) {
-  std::vector<standin::OperationClass> classes;
+std::vector<fakes::OperationClass> classes_of(const Scenario& script, const config::Config& config) {
+  std::vector<fakes::OperationClass> classes;
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto& settings = config.settings.classes[k];
-    standin::OperationClass cls{config.classes[k], settings.effect != Effect::idempotent,
-                                settings.target_time, settings.abandon_time, 0.01};
+    fakes::OperationClass cls{config.classes[k], settings.effect != Idempotency::idempotent,
+                                settings.latency_objective, settings.request_deadline, 0.01};
     for (const auto& traffic : script.traffic) {
       if (traffic.name == cls.name) cls.work_seconds = std::chrono::duration<double>(traffic.work).count();
     }
@@ -55,19 +55,19 @@
 
 // --- The roll
 
-void RollWriter::put(const standin::ReplicaShape& shape, const std::string& zone, const std::string& kind) {
+void RollWriter::put(const fakes::ReplicaShape& shape, const std::string& zone, const std::string& kind) {
   const std::lock_guard held(lock_);
-  entries_[shape.name] = {zone, kind, shape.address.text(), judge::Phase::ready, 0};
-  trace_.add(judge::Listed{now(), shape.name, judge::Phase::ready});
+  entries_[shape.name] = {zone, kind, shape.address.text(), checker::EndpointPhase::ready, 0};
+  trace_.add(checker::Listed{now(), shape.name, checker::EndpointPhase::ready});
   write();
 }
 
-void RollWriter::list(const std::string& replica, judge::Phase phase, bool started_now) {
+void RollWriter::list(const std::string& replica, checker::EndpointPhase phase, bool started_now) {
   const std::lock_guard held(lock_);
   auto& entry = entries_.at(replica);
   entry.phase = phase;
   if (started_now) entry.started = wall_seconds();
-  trace_.add(judge::Listed{now(), replica, phase});
+  trace_.add(checker::Listed{now(), replica, phase});
   write();
 }
 
@@ -80,11 +80,11 @@
 void RollWriter::write() {
   nlohmann::json backends = nlohmann::json::array();
   for (const auto& [name, entry] : entries_) {
-    if (entry.phase == judge::Phase::gone) continue;
+    if (entry.phase == checker::EndpointPhase::gone) continue;
     nlohmann::json backend = {{"name", name},
                               {"zone", entry.zone},
                               {"address", entry.address},
-                              {"phase", entry.phase == judge::Phase::ready ? "ready" : "draining"}};
+                              {"phase", entry.phase == checker::EndpointPhase::ready ? "ready" : "draining"}};
     if (!entry.kind.empty()) backend["kind"] = entry.kind;
     if (entry.started > 0) backend["started"] = entry.started;
     backends.push_back(backend);
@@ -104,8 +104,8 @@
 
 // --- The stage
 
-Stage::Stage(const Script& script, const config::Config& config, const std::filesystem::path& folder,
-             judge::Trace& trace, const standin::Sabotage& sabotage)
+TestEnvironment::TestEnvironment(const Scenario& script, const config::Config& config, const std::filesystem::path& folder,
+             checker::Trace& trace, const fakes::InjectedDefects& sabotage)
     : config_(config),
       trace_(trace),
       roll_(folder / "roll.json", trace),
@@ -114,15 +114,15 @@
   std::map<std::string, std::size_t> in_zone;
   for (const auto& group : script.replicas) {
     for (std::size_t n = 0; n < group.count; ++n) {
-      standin::ReplicaShape shape;
+      fakes::ReplicaShape shape;
       shape.name = group.zone + "-" + std::to_string(++in_zone[group.zone]);
       zones_[shape.name] = group.zone;
       shape.address = block_.address(kReplicas, replicas_.size() + 1, 9000);
       shape.cores = group.cores;
       shape.speed = group.speed;
-      shape.cold_share = config.settings.cold_share;
-      shape.cold_time = config.settings.cold_time;
-      replicas_[shape.name] = std::make_unique<standin::Replica>(shape, trace);
+      shape.initial_warm_up_capacity = config.settings.initial_warm_up_capacity;
+      shape.warm_up_duration = config.settings.warm_up_duration;
+      replicas_[shape.name] = std::make_unique<fakes::Replica>(shape, trace);
       replicas_[shape.name]->start(false);
       roll_.put(shape, group.zone, group.kind);
     }
@@ -130,26 +130,26 @@
   std::mt19937 chance(script.seed);
   const auto classes = classes_of(script, config);
   for (const auto& known : config.proxies.known) {
-    standin::ProxyShape shape;
+    fakes::ProxyShape shape;
     shape.name = known.name;
     shape.zone = config.zones[static_cast<std::size_t>(known.zone)];
     shape.apex = config.dns.apex;
     shape.classes = classes;
     shape.entry = block_.address(kProxies, proxies_.size() + 1, 7000);
-    shape.report_every = config.settings.report_every;
+    shape.report_interval = config.settings.report_interval;
     shape.sabotage = sabotage;
     entries_[known.name] = shape.entry;
     if (known.is_pushed_to()) folders_[known.name] = (folder / ("tables-" + known.name)).string();
     if (known.receiver) {
       receivers_at_[known.name] = block_.address(kReceivers, proxies_.size() + 1, 7700);
-      couriers_[known.name] = std::make_unique<standin::Courier>(
+      couriers_[known.name] = std::make_unique<fakes::FaultyLink>(
           block_.address(kCouriers, proxies_.size() + 1, 7700), receivers_at_.at(known.name),
           static_cast<std::uint32_t>(chance()));
     }
-    proxies_[known.name] = std::make_unique<standin::Proxy>(shape, trace, chance());
+    proxies_[known.name] = std::make_unique<fakes::Proxy>(shape, trace, chance());
   }
   for (const auto& between : script.resolvers) {
-    resolvers_.push_back(std::make_unique<standin::Resolver>(
+    resolvers_.push_back(std::make_unique<fakes::Resolver>(
         block_.address(kResolvers, resolvers_.size() + 1, 5300), between.factor));
     resolvers_.back()->upstream(dns());
     for (const auto& proxy : between.proxies) dns_of_[proxy] = resolvers_.back()->address();
@@ -158,14 +158,14 @@
     for (std::size_t n = 0; n < group.count; ++n) {
       const auto& cls =
           *std::find_if(classes.begin(), classes.end(), [&](const auto& c) { return c.name == group.cls; });
-      terminals_.push_back(std::make_unique<standin::Terminal>(
+      terminals_.push_back(std::make_unique<fakes::CachingClient>(
           "_" + group.cls + "._tcp." + group.zone + ".zones." + config.dns.apex, cls, group.every, group.hold,
           kTerminalIds * (terminals_.size() + 1), trace, chance()));
     }
   }
 }
 
-std::string Stage::configuration(const std::string& text, const std::string& label,
+std::string TestEnvironment::configuration(const std::string& text, const std::string& label,
                                  std::size_t number) const {
   const config::Document document(text, label, config::kGovernorSchema);
   const auto root = document.root();
@@ -185,28 +185,28 @@
   return document.text();
 }
 
-standin::Reach Stage::reach_of(const std::string& proxy) const {
+fakes::ControlPlaneAddresses TestEnvironment::reach_of(const std::string& proxy) const {
   const auto through = dns_of_.find(proxy);
   const auto folder = folders_.find(proxy);
   return {through == dns_of_.end() ? dns() : through->second, reports(),
           folder == folders_.end() ? "" : folder->second, false};
 }
 
-void Stage::start() {
+void TestEnvironment::start() {
   for (auto& [name, proxy] : proxies_) proxy->reach(reach_of(name));
   for (auto& terminal : terminals_) terminal->start(dns());
 }
 
-void Stage::start_with_equal_weights() {
-  standin::Resolved all;
-  all.kind = standin::Resolved::Kind::answer;
+void TestEnvironment::start_with_equal_weights() {
+  fakes::Resolved all;
+  all.kind = fakes::Resolved::Kind::answer;
   all.replicas = true;
   all.retry = "after-proof";
   for (const auto& [name, replica] : replicas_) all.targets.push_back({name, replica->shape().address, 0, 1});
   for (auto& [name, proxy] : proxies_) proxy->fix(all);
 }
 
-void Stage::stop() {
+void TestEnvironment::stop() {
   for (auto& terminal : terminals_) terminal->stop();
   for (auto& [name, proxy] : proxies_) proxy->stop();
   for (auto& resolver : resolvers_) resolver->stop();
@@ -215,40 +215,40 @@
   for (auto& [name, replica] : replicas_) replica->crash();
 }
 
-void Stage::start_receivers(const std::string& program) {
+void TestEnvironment::start_receivers(const std::string& program) {
   for (const auto& [proxy, at] : receivers_at_) start_receiver(program, proxy);
 }
 
-void Stage::start_receiver(const std::string& program, const std::string& proxy) {
+void TestEnvironment::start_receiver(const std::string& program, const std::string& proxy) {
   const bool again = receivers_.contains(proxy);
-  receivers_[proxy] = std::make_unique<Child>(
+  receivers_[proxy] = std::make_unique<ChildProcess>(
       program, std::vector<std::string>{"receive", "--listen", receivers_at_.at(proxy).text(), "--folder",
                                         folders_.at(proxy)});
   if (again) note_cut(proxy, false);
 }
 
 // Nobody can bring the proxy anything until it is back.
-void Stage::kill_receiver(const std::string& proxy) {
+void TestEnvironment::kill_receiver(const std::string& proxy) {
   note_cut(proxy, true);
   receivers_.at(proxy)->kill();
 }
 
-void Stage::note_cut(const std::string& proxy, bool cut) { trace_.add(judge::Cut{now(), proxy, cut}); }
+void TestEnvironment::note_cut(const std::string& proxy, bool cut) { trace_.add(checker::Cut{now(), proxy, cut}); }
 
-void Stage::push_fault(const std::string& proxy, standin::Carriage carriage, Nanos by) {
-  using standin::Carriage;
+void TestEnvironment::push_fault(const std::string& proxy, fakes::LinkFault carriage, Nanos by) {
+  using fakes::LinkFault;
   couriers_.at(proxy)->carry(carriage, by);
   const bool arrives =
-      carriage == Carriage::prompt || carriage == Carriage::late || carriage == Carriage::twice;
+      carriage == LinkFault::prompt || carriage == LinkFault::late || carriage == LinkFault::twice;
   note_cut(proxy, !arrives);
 }
 
-void Stage::be_still(const std::string& proxy, bool still) {
+void TestEnvironment::be_still(const std::string& proxy, bool still) {
   proxies_.at(proxy)->be_still(still);
   note_cut(proxy, still);
 }
 
-void Stage::cut_zone(const std::string& zone, bool is_cut) {
+void TestEnvironment::cut_zone(const std::string& zone, bool is_cut) {
   for (const auto& known : config_.proxies.known) {
     const auto& own = config_.zones[static_cast<std::size_t>(known.zone)];
     std::set<std::string> beyond;
@@ -258,17 +258,17 @@
     proxies_.at(known.name)->cut_off_from(std::move(beyond));
     const auto& governor = config_.zones[static_cast<std::size_t>(config_.settings.own_zone)];
     if ((own == zone) == (governor == zone)) continue;
-    known.receiver ? push_fault(known.name, is_cut ? standin::Carriage::torn : standin::Carriage::prompt, {})
+    known.receiver ? push_fault(known.name, is_cut ? fakes::LinkFault::torn : fakes::LinkFault::prompt, {})
                    : cut(known.name, is_cut);
   }
 }
 
-void Stage::be_deaf(const std::string& proxy, bool deaf) {
+void TestEnvironment::be_deaf(const std::string& proxy, bool deaf) {
   proxies_.at(proxy)->be_deaf(deaf);
   note_cut(proxy, deaf);
 }
 
-bool Stage::fill_disk(const std::string& proxy, bool full) {
+bool TestEnvironment::fill_disk(const std::string& proxy, bool full) {
   note_cut(proxy, full);
   const auto receiver = receivers_.find(proxy);
   if (receiver == receivers_.end()) return false;
@@ -276,7 +276,7 @@
   return true;
 }
 
-void Stage::cut(const std::string& name, bool cut) {
+void TestEnvironment::cut(const std::string& name, bool cut) {
   auto reach = reach_of(name);
   reach.cut = cut;
   proxies_.at(name)->reach(reach);
--- a/src/whatif/answer.cpp
+++ b/src/simulation/answer.cpp
@@ -1,10 +1,10 @@
-#include "whatif/answer.h"
+#include "simulation/answer.h"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 using namespace std::chrono_literals;
--- a/src/whatif/answer.h
+++ b/src/simulation/answer.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "whatif/played.h"
+#include "simulation/simulated_day.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 // The model beside the record, over stretches that taught it no standing figure.
 struct ModelError {
--- a/src/whatif/check.cpp
+++ b/src/simulation/check.cpp
@@ -1,10 +1,10 @@
-#include "whatif/check.h"
+#include "simulation/check.h"
 
 #include <stdexcept>
 
-#include "whatif/evidence.h"
+#include "simulation/evidence.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 void need(bool holds, const char* otherwise) {
--- a/src/whatif/check.h
+++ b/src/simulation/check.h
@@ -1,9 +1,9 @@
 // Whether a record can be asked about with a deployment. Pure.
 #pragma once
 
-#include "whatif/fleet.h"
+#include "simulation/fleet.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 // Bins of all replicas, time and operations that a record may come to; a longer one is to be cut first.
 inline constexpr std::size_t kMostBins = 16'000'000;
--- a/src/whatif/clockwork.h
+++ b/src/simulation/event_queue.h
@@ -6,11 +6,11 @@
 #include <queue>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
-class Clockwork {
+class EventQueue {
  public:
   Nanos now() const { return now_; }
   // Not before now.
--- a/src/whatif/evidence.cpp
+++ b/src/simulation/evidence.cpp
@@ -1,8 +1,8 @@
-#include "whatif/evidence.h"
+#include "simulation/evidence.h"
 
 #include <algorithm>
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 constexpr int kRounds = 12;  // more sharpen noise
@@ -30,28 +30,28 @@
   for (const auto& line : lines) {
     spread(line, bins, [&](std::size_t bin, double share) {
       auto& at = evidence[bin];
-      at.tries += line.tries * share;
-      at.handled += (line.tries - line.failed) * share;
+      at.attempts += line.attempts * share;
+      at.handled += (line.attempts - line.failed) * share;
       at.handled_seconds += line.handled_seconds * share;
       failed[bin] += line.failed * share;
       if (line.util) at.util += *line.util * share, at.utils += share;
     });
   }
   for (std::size_t bin = 0; bin < bins; ++bin)
-    evidence[bin].fails = evidence[bin].any() ? failed[bin] / evidence[bin].tries : 0;
+    evidence[bin].fails = evidence[bin].any() ? failed[bin] / evidence[bin].attempts : 0;
   std::vector<double> scaled(bins), weight(bins);
   for (int round = 0; round < kRounds; ++round) {
     std::fill(scaled.begin(), scaled.end(), 0);
     std::fill(weight.begin(), weight.end(), 0);
     for (const auto& line : lines) {
-      if (line.tries <= 0) continue;
+      if (line.attempts <= 0) continue;
       double expected = 0;
       spread(line, bins,
-             [&](std::size_t bin, double share) { expected += line.tries * share * evidence[bin].fails; });
+             [&](std::size_t bin, double share) { expected += line.attempts * share * evidence[bin].fails; });
       const double more = expected > 1e-12 ? line.failed / expected : 1;
       spread(line, bins, [&](std::size_t bin, double share) {
-        scaled[bin] += line.tries * share * more;
-        weight[bin] += line.tries * share;
+        scaled[bin] += line.attempts * share * more;
+        weight[bin] += line.attempts * share;
       });
     }
     for (std::size_t bin = 0; bin < bins; ++bin) {
--- a/src/whatif/evidence.h
+++ b/src/simulation/evidence.h
@@ -5,26 +5,26 @@
 #include <optional>
 #include <vector>
 
-#include "whatif/history.h"
+#include "simulation/history.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 inline constexpr Nanos kBin = std::chrono::milliseconds(200);
 
 // One proxy's line about the replica.
 struct Seen {
   Nanos from{}, to{};
-  double tries = 0, failed = 0;
+  double attempts = 0, failed = 0;
   double handled_seconds = 0;
   std::optional<double> util;
 };
 
 // One bin of a replica's time.
 struct Evidence {
-  double tries = 0, handled = 0, handled_seconds = 0;
+  double attempts = 0, handled = 0, handled_seconds = 0;
   double fails = 0;  // share of the tries, 0 to 1
   double util = 0, utils = 0;
-  bool any() const { return tries > 1e-9; }
+  bool any() const { return attempts > 1e-9; }
 };
 
 // By bins from 0 to `length`. Lines that overlap are brought to agree (Richardson 1972, Lucy 1974: shares of
--- a/src/whatif/fit.cpp
+++ b/src/simulation/fit.cpp
@@ -3,11 +3,11 @@
 #include <map>
 #include <numeric>
 
-#include "whatif/check.h"
-#include "whatif/evidence.h"
-#include "whatif/fleet.h"
+#include "simulation/check.h"
+#include "simulation/evidence.h"
+#include "simulation/fleet.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 using namespace std::chrono_literals;
@@ -79,7 +79,7 @@
     };
     for (const auto& news : history_.lists) {
       if (news.failed) continue;
-      if (news.kind != ListKind::changes) {
+      if (news.kind != EndpointListKind::changes) {
         for (std::size_t n = 0; n < listed_.size(); ++n) {
           const bool named = std::any_of(news.entries.begin(), news.entries.end(), [&](const auto& entry) {
             return static_cast<std::size_t>(entry.replica) == n;
@@ -89,11 +89,11 @@
       }
       for (const auto& entry : news.entries) {
         const auto n = static_cast<std::size_t>(entry.replica);
-        if (entry.phase != Phase::gone) {
+        if (entry.phase != EndpointPhase::gone) {
           fleet_.replicas[n].zone = entry.zone;
           fleet_.replicas[n].kind = entry.kind;
         }
-        if (entry.phase != Phase::ready) {
+        if (entry.phase != EndpointPhase::ready) {
           close(n, news.at);
         } else if (listed_[n].empty() || listed_[n].back().to != Nanos::max() ||
                    listed_[n].back().started != entry.started) {
@@ -109,7 +109,7 @@
     int util = -1;
     const auto& columns = deployment_.settings.load_columns;
     for (std::size_t k = 0; k < columns.size(); ++k) {
-      if (columns[k] == LoadColumn::util) util = static_cast<int>(k);
+      if (columns[k] == LoadMetric::util) util = static_cast<int>(k);
     }
     for (std::size_t r = 0; r < history_.reports.size(); ++r) {
       const auto& report = history_.reports[r];
@@ -118,9 +118,9 @@
         const auto n = static_cast<std::size_t>(met.replica);
         Seen line{report.from,
                   report.to,
-                  static_cast<double>(met.tries),
+                  static_cast<double>(met.attempts),
                   static_cast<double>(met.failed),
-                  (met.tries - met.failed) * seconds(met.mean_time),
+                  (met.attempts - met.failed) * seconds(met.mean_latency),
                   {}};
         if (util >= 0 && static_cast<std::size_t>(util) < met.load.size())
           line.util = met.load[static_cast<std::size_t>(util)];
@@ -133,7 +133,7 @@
   // Whether a replica that was started within the record, or just before, was still cold then.
   bool cold(std::size_t n, Nanos at) const {
     for (const auto& listed : listed_[n]) {
-      if (listed.covers(at) && listed.started && at < *listed.started + deployment_.settings.cold_time)
+      if (listed.covers(at) && listed.started && at < *listed.started + deployment_.settings.warm_up_duration)
         return true;
     }
     return false;
@@ -168,8 +168,8 @@
       usual.seconds += seconds(kBin);
     }
     for (const auto& line : taught_[n]) {
-      if (line.failed > kNoise * line.tries || line.tries <= 0 || cold(n, line.from)) continue;
-      usual.own_handled += line.tries, usual.own_seconds += seconds(line.to - line.from);
+      if (line.failed > kNoise * line.attempts || line.attempts <= 0 || cold(n, line.from)) continue;
+      usual.own_handled += line.attempts, usual.own_seconds += seconds(line.to - line.from);
       if (!line.util) continue;
       usual.util += *line.util, usual.util_squares += *line.util * *line.util, usual.utils += 1;
     }
@@ -182,7 +182,7 @@
     std::vector<std::pair<double, double>> means;
     double all = 0;
     for (const auto& line : taught_[n]) {
-      const double handled = line.tries - line.failed;
+      const double handled = line.attempts - line.failed;
       if (handled <= 0 || cold(n, line.from)) continue;
       means.emplace_back(line.handled_seconds / handled, handled);
       all += handled;
@@ -242,10 +242,10 @@
 
   // Its own figures where it was looked at often; else those of its kind together.
   void fit_figures() {
-    std::map<KindId, std::vector<std::size_t>> by_kind;
+    std::map<HardwareKindId, std::vector<std::size_t>> by_kind;
     std::vector<std::size_t> everybody;
     std::vector<double> all;
-    std::map<KindId, std::vector<double>> like;
+    std::map<HardwareKindId, std::vector<double>> like;
     base_.assign(lines_.size(), 0);
     for (std::size_t n = 0; n < lines_.size(); ++n) {
       usual_.push_back(usual_of(n));
@@ -308,8 +308,8 @@
       double handled = 0, took = 0;
       for (const auto& met : report.met) {
         const auto n = static_cast<std::size_t>(met.replica);
-        const double count = met.tries - met.failed;
-        const double mean = seconds(met.mean_time);
+        const double count = met.attempts - met.failed;
+        const double mean = seconds(met.mean_latency);
         if (count <= 0 || cold(n, report.from) || mean > kWaited * base_[n]) continue;
         handled += count;
         took += count * mean / fleet_.replicas[n].slowness;
@@ -357,17 +357,17 @@
 
   void fit_cold() {
     const auto& settings = deployment_.settings;
-    fleet_.cold_time = settings.cold_time;
+    fleet_.warm_up_duration = settings.warm_up_duration;
     double sum = 0, weight = 0;
     for (std::size_t n = 0; n < lines_.size(); ++n) {
       for (const auto& line : taught_[n]) {
-        const double handled = line.tries - line.failed;
+        const double handled = line.attempts - line.failed;
         const Nanos middle = (line.from + line.to) / 2;
         if (handled <= 0 || line.handled_seconds <= 0 || !cold(n, middle)) continue;
         for (const auto& listed : listed_[n]) {
           if (!listed.covers(middle) || !listed.started) continue;
           const double age =
-              std::clamp(seconds(middle - *listed.started) / seconds(settings.cold_time), 0.0, 1.0);
+              std::clamp(seconds(middle - *listed.started) / seconds(settings.warm_up_duration), 0.0, 1.0);
           const double warmth = base_[n] / (line.handled_seconds / handled);
           sum += handled * (1 - age) * (warmth - age);
           weight += handled * (1 - age) * (1 - age);
@@ -375,7 +375,7 @@
       }
     }
     fleet_.cold_seen = weight > 5;
-    fleet_.cold_share = fleet_.cold_seen ? std::clamp(sum / weight, 0.05, 1.0) : settings.cold_share;
+    fleet_.initial_warm_up_capacity = fleet_.cold_seen ? std::clamp(sum / weight, 0.05, 1.0) : settings.initial_warm_up_capacity;
   }
 
   // How failed tries and unanswered operations go together, and both with operations that come again.
@@ -422,7 +422,7 @@
 
   // What comes of load the model brings about by itself; only the rest is trouble.
   bool loaded(std::size_t n, const Evidence& bin) const {
-    return bin.tries * base_[n] / seconds(kBin) > kRoom * fleet_.replicas[n].cores;
+    return bin.attempts * base_[n] / seconds(kBin) > kRoom * fleet_.replicas[n].cores;
   }
 
   double slower(std::size_t n, const Evidence& bin, Nanos at) const {
@@ -500,7 +500,7 @@
   // How long a try is waited for, over the classes.
   Nanos patience() const {
     Nanos patience{};
-    for (const auto& cls : deployment_.settings.classes) patience += cls.target_time;
+    for (const auto& cls : deployment_.settings.classes) patience += cls.latency_objective;
     return patience / static_cast<Nanos::rep>(std::max<std::size_t>(1, deployment_.settings.classes.size()));
   }
 
@@ -511,15 +511,15 @@
     if (!usual_[n].any()) return 0.5;
     const auto& bins = evidence_[n];
     const auto hole = std::max<std::size_t>(1, static_cast<std::size_t>(patience() / kBin));
-    const auto blur = static_cast<std::size_t>(deployment_.settings.report_every / kBin);
+    const auto blur = static_cast<std::size_t>(deployment_.settings.report_interval / kBin);
     const double expected = usual_[n].rate() * seconds(kBin) * static_cast<double>(hole);
     // Lines blur the hole by their span.
     double emptiest = 1;
     for (auto from = begins - std::min(begins, hole + blur);
          from + hole <= std::min(bins.size(), begins + blur); ++from) {
-      double tries = 0;
-      for (auto b = from; b < from + hole; ++b) tries += bins[b].tries;
-      emptiest = std::min(emptiest, tries / expected);
+      double attempts = 0;
+      for (auto b = from; b < from + hole; ++b) attempts += bins[b].attempts;
+      emptiest = std::min(emptiest, attempts / expected);
     }
     return std::clamp((kWhole - emptiest) / (kWhole - kHollow), 0.0, 1.0);
   }
--- a/src/whatif/fleet.h
+++ b/src/simulation/fleet.h
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "judge/judge.h"
-#include "lifetime/clients.h"
-#include "rules.h"
-#include "whatif/history.h"
+#include "checker/invariant_checker.h"
+#include "dns/client_ttl_policy.h"
+#include "policy/controller.h"
+#include "simulation/history.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 // What another configuration says, as far as a played day needs it.
 struct Deployment {
@@ -18,8 +18,8 @@
   std::uint64_t seed = 1;
   std::vector<std::string> proxies, classes, zones;  // by id
   std::vector<bool> pushed;                          // by proxy: gets its tables without asking
-  lifetime::Limits lifetimes;
-  judge::Limits limits;
+  dns::ClientTtlLimits lifetimes;
+  checker::Limits limits;
 };
 
 // What the record cannot tell is assumed to have gone well, ill, or half of each.
@@ -36,7 +36,7 @@
 
 struct ReplicaModel {
   ZoneId zone{};
-  KindId kind{};
+  HardwareKindId kind{};
   double slowness = 1;  // of what an operation takes on the average replica
   double cores = 1;     // operations in work at a time
   bool seen = false;    // its own figures; else those of its kind
@@ -47,8 +47,8 @@
   std::vector<ReplicaModel> replicas;  // by the record's ids
   std::vector<double> work;            // seconds, by class, on the average replica
   double variation = 0;                // of that, as a share: standard deviation; sums do not tell it
-  double cold_share = 1;
-  Nanos cold_time{};
+  double initial_warm_up_capacity = 1;
+  Nanos warm_up_duration{};
   std::vector<double> repeats;  // by class: how often a client comes again after a failure, 0 to 0.95
   Nanos push_time{};            // until a proxy that is pushed to goes by it
   bool cores_seen = false, cold_seen = false;
--- a/src/whatif/history.h
+++ b/src/simulation/history.h
@@ -6,15 +6,15 @@
 #include <string>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 // What a proxy met at one replica over a report's span.
 struct Met {
   ReplicaId replica{};
-  std::uint32_t tries = 0, failed = 0;
-  Nanos mean_time{};  // of the handled ones
+  std::uint32_t attempts = 0, failed = 0;
+  Nanos mean_latency{};  // of the handled ones
   std::vector<float> load;
 };
 
@@ -36,9 +36,9 @@
 // News of the list; `entries` is empty where it could not be read.
 struct ListNews {
   Nanos at{};
-  ListKind kind = ListKind::changes;
+  EndpointListKind kind = EndpointListKind::changes;
   bool failed = false;
-  std::vector<ListEntry> entries;
+  std::vector<EndpointUpdate> entries;
 };
 
 struct Membership {
--- a/src/whatif/modelled_replica.cpp
+++ b/src/simulation/modelled_replica.cpp
@@ -1,11 +1,11 @@
-#include "whatif/modelled_replica.h"
+#include "simulation/modelled_replica.h"
 
 #include <algorithm>
 #include <boost/random/gamma_distribution.hpp>
 #include <boost/random/uniform_real_distribution.hpp>
 #include <cmath>
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 constexpr Nanos kAtOnce = std::chrono::milliseconds(1);  // an answer that costs no work
@@ -69,9 +69,9 @@
   busy_ += 1;
   held->begins();
   double warmth = 1;
-  if (cold_ && fleet_.cold_time > Nanos{}) {
-    const double age = std::clamp(seconds(clock_.now() - begun_) / seconds(fleet_.cold_time), 0.0, 1.0);
-    warmth = fleet_.cold_share + (1 - fleet_.cold_share) * age;
+  if (cold_ && fleet_.warm_up_duration > Nanos{}) {
+    const double age = std::clamp(seconds(clock_.now() - begun_) / seconds(fleet_.warm_up_duration), 0.0, 1.0);
+    warmth = fleet_.initial_warm_up_capacity + (1 - fleet_.initial_warm_up_capacity) * age;
   }
   const auto* trouble = spell();
   double takes = held->work * model_.slowness / warmth * (trouble ? trouble->slower : 1);
--- a/src/whatif/modelled_replica.h
+++ b/src/simulation/modelled_replica.h
@@ -7,16 +7,16 @@
 #include <random>
 #include <utility>
 
-#include "whatif/clockwork.h"
-#include "whatif/fleet.h"
+#include "simulation/event_queue.h"
+#include "simulation/fleet.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 enum class Outcome { done, failed, refused, unknown };  // refused: it never ran; unknown: it may have
 
 class ModelledReplica {
  public:
-  ModelledReplica(const ReplicaModel& model, const Fleet& fleet, Clockwork& clock, std::mt19937& chance)
+  ModelledReplica(const ReplicaModel& model, const Fleet& fleet, EventQueue& clock, std::mt19937& chance)
       : model_(model), fleet_(fleet), clock_(clock), chance_(chance) {}
 
   // Its process begins, warm or cold; it dies, and all that it has in hand ends without an answer.
@@ -49,7 +49,7 @@
 
   const ReplicaModel& model_;
   const Fleet& fleet_;
-  Clockwork& clock_;
+  EventQueue& clock_;
   std::mt19937& chance_;
   bool alive_ = false, cold_ = false;
   Nanos begun_{};
--- a/src/whatif/played.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -1,4 +1,4 @@
-#include "whatif/played.h"
+#include "simulation/simulated_day.h"
 
 #include <algorithm>
 #include <boost/random/uniform_real_distribution.hpp>
@@ -6,12 +6,12 @@
 #include <map>
 #include <set>
 
-#include "book/handouts.h"
-#include "book/order_book.h"
-#include "whatif/check.h"
-#include "whatif/modelled_replica.h"
+#include "routing_state/pull_delivery.h"
+#include "routing_state/routing_state.h"
+#include "simulation/check.h"
+#include "simulation/modelled_replica.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 using namespace std::chrono_literals;
@@ -45,27 +45,27 @@
     const auto second = static_cast<std::size_t>(std::max(report.to - 1ns, Nanos{}) / 1s);
     if (second >= counts.size() || !served.contains(report.proxy)) continue;
     for (const auto& of : report.asked) {
-      const double payoff = settings.classes[index(of.cls)].payoff;
-      counts[second].worth += of.operations * payoff;
-      counts[second].unanswered += of.unanswered * payoff;
+      const double priority_weight = settings.classes[index(of.cls)].priority_weight;
+      counts[second].worth += of.operations * priority_weight;
+      counts[second].unanswered += of.unanswered * priority_weight;
     }
   }
   return counts;
 }
 
 // One governor, from a recorded start to its end.
-class Governing : private Host {
+class Governing : private ActionSink {
  public:
-  Governing(const Deployment& deployment, Clockwork& clock)
+  Governing(const Deployment& deployment, EventQueue& clock)
       : deployment_(deployment),
         clock_(clock),
         book_(deployment.settings.classes.size()),
-        handouts_({deployment.settings.message_head_lines, deployment.limits.messages_allowed,
-                   deployment.limits.messages_window}),
+        handouts_({deployment.settings.message_overhead_entries, deployment.limits.max_messages_per_window,
+                   deployment.limits.message_window}),
         clients_(deployment.lifetimes) {
     for (std::size_t p = 0; p < deployment.proxies.size(); ++p)
       clients_.introduce(ProxyId{static_cast<std::uint16_t>(p)}, true);
-    governor_.emplace(deployment.settings, deployment.seed, clock.now(), static_cast<Host&>(*this));
+    governor_.emplace(deployment.settings, deployment.seed, clock.now(), static_cast<ActionSink&>(*this));
     publish();
   }
 
@@ -77,33 +77,33 @@
   void joined(const Membership& of) {
     book_.joined(of.proxy);
     handouts_.joined(clock_.now(), of.proxy);
-    call([&](Governor& governor, Nanos now) {
-      governor.proxy_joined(now, of.proxy, of.zone, of.usual_rate, of.fresh);
+    call([&](Controller& governor, Nanos now) {
+      governor.on_proxy_joined(now, of.proxy, of.zone, of.usual_rate, of.fresh);
     });
   }
   void left(ProxyId proxy) {
-    governor_->proxy_left(clock_.now(), proxy);
+    governor_->on_proxy_left(clock_.now(), proxy);
     book_.left(proxy);
     handouts_.left(proxy);
     publish();
   }
   // What the proxy is told when it asks; null: nothing.
-  std::shared_ptr<const book::Holding> asked(ProxyId proxy) {
+  std::shared_ptr<const routing_state::ProxySnapshot> asked(ProxyId proxy) {
     const auto now = clock_.now();
     auto holding = handouts_.take(now, proxy);
     for (const auto& mark : handouts_.reached(now, proxy)) {
-      call([&](Governor& governor, Nanos at) {
-        governor.orders_applied(at, mark.proxy, mark.mark, mark.took);
+      call([&](Controller& governor, Nanos at) {
+        governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
       });
     }
     return holding;
   }
   Nanos lifetime(ProxyId proxy, ClassId cls) { return clients_.asked(clock_.now(), proxy, cls).lifetime; }
-  const book::Handouts::Counts& counts() const { return handouts_.counts(); }
-  const book::Version* version() const { return version_.get(); }
+  const routing_state::PullDelivery::Counts& counts() const { return handouts_.counts(); }
+  const routing_state::RoutingSnapshot* version() const { return version_.get(); }
 
   std::function<void(Withdrawal)> on_withdrawal;
-  std::function<ProbeAnswer(ReplicaId)> on_probe;
+  std::function<HealthCheckResult(ReplicaId)> on_probe;
 
  private:
   void publish() {
@@ -114,54 +114,54 @@
         handouts_.ordered(now, pending.proxy, version_->holding_of(pending.proxy), pending.lines);
     }
     for (const auto& [mark, reach_all] : std::exchange(marks_, {}))
-      handouts_.mark(now, mark, version_->number, version_->marked(reach_all));
+      handouts_.request_acknowledgement(now, mark, version_->number, version_->marked(reach_all));
   }
 
-  void set_line(TableId table, ReplicaId replica, double weight) override {
-    book_.set_line(table, replica, weight);
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
+    book_.set_table_entry(table, replica, weight);
   }
   void clear_table(TableId table) override { book_.clear_table(table); }
   void bind(ProxyId proxy, TableId table, ClassMask classes) override { book_.bind(proxy, table, classes); }
-  void withdraw(ReplicaId replica, bool out) override {
-    book_.withdraw(replica, out);
+  void set_ejected(ReplicaId replica, bool out) override {
+    book_.set_ejected(replica, out);
     if (on_withdrawal) on_withdrawal({clock_.now(), replica, out});
   }
-  void set_level(TableId table, ClassMask classes, double level, Retry retry) override {
-    book_.set_level(table, classes, level, retry);
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
+    book_.set_admitted_fraction(table, classes, level, retry);
   }
-  void mark(MarkId mark, bool reach_all) override { marks_.emplace_back(mark, reach_all); }
-  void arm(Nanos from_now, TimerId timer) override {
+  void request_acknowledgement(AckRequestId mark, bool reach_all) override { marks_.emplace_back(mark, reach_all); }
+  void start_timer(Nanos from_now, TimerId timer) override {
     clock_.at(clock_.now() + from_now, [this, timer, alive = std::weak_ptr<int>(alive_)] {
-      if (!alive.expired()) call([&](Governor& governor, Nanos now) { governor.timer_due(now, timer); });
+      if (!alive.expired()) call([&](Controller& governor, Nanos now) { governor.on_timer(now, timer); });
     });
   }
-  void watch_list(bool) override {}
-  void look_up_list() override {}
-  void probe(ReplicaId replica) override {
+  void watch_endpoint_list(bool) override {}
+  void refresh_endpoint_list() override {}
+  void request_health_check(ReplicaId replica) override {
     clock_.at(clock_.now() + kProbeTime, [this, replica, alive = std::weak_ptr<int>(alive_)] {
       if (alive.expired() || !on_probe) return;
-      call([&](Governor& governor, Nanos now) { governor.probe_answered(now, on_probe(replica)); });
+      call([&](Controller& governor, Nanos now) { governor.on_health_check_result(now, on_probe(replica)); });
     });
   }
-  void tell(std::optional<PeerId>, std::string_view) override {}
+  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
   void log(std::string_view) override {}
 
   const Deployment& deployment_;
-  Clockwork& clock_;
+  EventQueue& clock_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  book::OrderBook book_;
-  book::Handouts handouts_;
-  lifetime::Clients clients_;
-  std::vector<std::pair<MarkId, bool>> marks_;
-  std::shared_ptr<const book::Version> version_ = std::make_shared<book::Version>();
-  std::optional<Governor> governor_;
+  routing_state::RoutingState book_;
+  routing_state::PullDelivery handouts_;
+  dns::ClientTtlPolicy clients_;
+  std::vector<std::pair<AckRequestId, bool>> marks_;
+  std::shared_ptr<const routing_state::RoutingSnapshot> version_ = std::make_shared<routing_state::RoutingSnapshot>();
+  std::optional<Controller> governor_;
 };
 
 struct ModelledProxy {
   // What it goes by, for each class.
-  std::vector<std::shared_ptr<const book::View>> tables;
+  std::vector<std::shared_ptr<const routing_state::RoutingTable>> tables;
   struct Met {
-    std::uint32_t tries = 0, failed = 0;
+    std::uint32_t attempts = 0, failed = 0;
     double handled_seconds = 0;
     std::vector<float> load;
   };
@@ -182,7 +182,7 @@
         served_(zones_of_served(history)) {
     check(history, deployment);
     for (const auto& model : fleet.replicas) replicas_.emplace_back(model, fleet, clock_, chance_);
-    listed_.resize(replicas_.size(), Phase::gone);
+    listed_.resize(replicas_.size(), EndpointPhase::gone);
     for (auto& proxy : proxies_) {
       proxy.tables.resize(deployment.classes.size());
       for (std::size_t k = 0; k < deployment.classes.size(); ++k)
@@ -199,7 +199,7 @@
     for (Nanos at{}; at < history_.length; at += 1s) clock_.at(at, [this] { sample(); });
     // What is under way at the end is answered or given up on.
     Nanos longest{};
-    for (const auto& cls : deployment_.settings.classes) longest = std::max(longest, cls.abandon_time);
+    for (const auto& cls : deployment_.settings.classes) longest = std::max(longest, cls.request_deadline);
     clock_.run_until(history_.length + longest);
     finish();
     return std::move(played_);
@@ -214,7 +214,7 @@
       clock_.at(life.from, [this] { raise(); });
       if (n + 1 < history_.lives.size()) clock_.at(life.to + 1ns, [this] { fall(); });
     }
-    clock_.at(history_.length, [this] { trace_.add(judge::Governing{clock_.now(), false}); });
+    clock_.at(history_.length, [this] { trace_.add(checker::Governing{clock_.now(), false}); });
   }
 
   void raise() {
@@ -223,13 +223,13 @@
       played_.withdrawals.push_back(withdrawal);
     };
     governing_->on_probe = [this](ReplicaId replica) { return probed(replica); };
-    trace_.add(judge::Governing{clock_.now(), true});
+    trace_.add(checker::Governing{clock_.now(), true});
   }
   void fall() {
     note_counts();
     governing_.reset();
     for (auto& proxy : proxies_) proxy.joined = false, ++proxy.asking;
-    trace_.add(judge::Governing{clock_.now(), false});
+    trace_.add(checker::Governing{clock_.now(), false});
   }
   void note_counts() {
     if (!governing_) return;
@@ -243,45 +243,45 @@
 
   void list(const ListNews& news) {
     if (news.failed) {
-      if (governing_) governing_->call([](Governor& governor, Nanos now) { governor.list_failed(now); });
+      if (governing_) governing_->call([](Controller& governor, Nanos now) { governor.on_endpoint_list_failed(now); });
       return;
     }
-    if (news.kind != ListKind::changes) {
+    if (news.kind != EndpointListKind::changes) {
       // Whom a whole list does not name is gone; a fresh governor is not told of those.
       std::set<ReplicaId> named;
       for (const auto& entry : news.entries) named.insert(entry.replica);
       for (std::size_t n = 0; n < listed_.size(); ++n) {
         const ReplicaId id{static_cast<std::uint32_t>(n)};
-        if (listed_[n] != Phase::gone && !named.contains(id)) set_phase(id, Phase::gone, {});
+        if (listed_[n] != EndpointPhase::gone && !named.contains(id)) set_phase(id, EndpointPhase::gone, {});
       }
     }
     for (const auto& entry : news.entries) set_phase(entry.replica, entry.phase, entry.started);
     if (governing_) {
       governing_->call(
-          [&](Governor& governor, Nanos now) { governor.list_received(now, news.kind, news.entries); });
+          [&](Controller& governor, Nanos now) { governor.on_endpoint_list(now, news.kind, news.entries); });
     }
   }
 
   // The list tells what became of processes: gone is dead, a later start is another process.
-  void set_phase(ReplicaId id, Phase phase, std::optional<Nanos> started) {
+  void set_phase(ReplicaId id, EndpointPhase phase, std::optional<Nanos> started) {
     const auto n = index(id);
     auto& replica = replicas_[n];
     const auto now = clock_.now();
-    if (phase == Phase::gone) {
+    if (phase == EndpointPhase::gone) {
       replica.die();
     } else if (!replica.alive() || (started && *started > replica.begun() + 1ms)) {
-      const bool cold = started && *started + fleet_.cold_time > now;
+      const bool cold = started && *started + fleet_.warm_up_duration > now;
       const Nanos begun = cold ? std::max(*started, Nanos{}) : now;
       replica.start(begun, cold);
       const auto& model = fleet_.replicas[n];
-      trace_.add(judge::Started{begun, name(id), model.cores / model.slowness, cold ? fleet_.cold_share : 1,
-                                fleet_.cold_time});
+      trace_.add(checker::Started{begun, name(id), model.cores / model.slowness, cold ? fleet_.initial_warm_up_capacity : 1,
+                                fleet_.warm_up_duration});
     }
     listed_[n] = phase;
-    trace_.add(judge::Listed{now, name(id),
-                             phase == Phase::ready      ? judge::Phase::ready
-                             : phase == Phase::draining ? judge::Phase::draining
-                                                        : judge::Phase::gone});
+    trace_.add(checker::Listed{now, name(id),
+                             phase == EndpointPhase::ready      ? checker::EndpointPhase::ready
+                             : phase == EndpointPhase::draining ? checker::EndpointPhase::draining
+                                                        : checker::EndpointPhase::gone});
   }
 
   void plan_memberships() {
@@ -295,7 +295,7 @@
     ++proxy.asking;
     if (of.joined) {
       proxy.forwards = false;
-      if (away_.erase(of.proxy) > 0) trace_.add(judge::Cut{clock_.now(), proxy_name(of.proxy), false});
+      if (away_.erase(of.proxy) > 0) trace_.add(checker::Cut{clock_.now(), proxy_name(of.proxy), false});
       governing_->joined(of);
       for (std::size_t k = 0; k < proxy.tables.size(); ++k)
         ask(of.proxy, ClassId{static_cast<std::uint16_t>(k)}, proxy.asking);
@@ -303,7 +303,7 @@
     }
     governing_->left(of.proxy);
     away_.insert(of.proxy);
-    trace_.add(judge::Cut{clock_.now(), proxy_name(of.proxy), true});
+    trace_.add(checker::Cut{clock_.now(), proxy_name(of.proxy), true});
     // One that goes on reporting can be reached and was refused: others take its operations, who count them.
     const Nanos now = clock_.now();
     proxy.forwards = std::any_of(history_.reports.begin(), history_.reports.end(), [&](const Report& report) {
@@ -325,10 +325,10 @@
     clock_.at(clock_.now() + again, [this, id, cls, asking] { ask(id, cls, asking); });
   }
 
-  void put(ProxyId id, ClassId cls, const book::Holding& holding) {
+  void put(ProxyId id, ClassId cls, const routing_state::ProxySnapshot& holding) {
     auto& table = proxies_[index(id)].tables[index(cls)];
     const auto& view = holding.views[index(cls)];
-    judge::Answered answered{clock_.now(),
+    checker::Answered answered{clock_.now(),
                              proxy_name(id),
                              deployment_.classes[index(cls)],
                              static_cast<std::uint64_t>(holding.since),
@@ -378,7 +378,7 @@
     }
     const auto now = clock_.now();
     auto running = std::make_shared<Running>();
-    *running = {++last_, proxy, cls, now, now + terms(cls).abandon_time, fleet_.work[index(cls)], 0, {}};
+    *running = {++last_, proxy, cls, now, now + terms(cls).request_deadline, fleet_.work[index(cls)], 0, {}};
     perform(running);
   }
 
@@ -398,46 +398,46 @@
   void try_one(const RunningPtr& running, Outcome before) {
     // By the table of its own moment.
     const auto table = proxies_[index(running->proxy)].tables[index(running->cls)];
-    const auto retry = table ? table->terms[index(running->cls)].retry : Retry::none;
-    const std::size_t most = retry == Retry::twice ? 3 : retry == Retry::none ? 1 : 2;
+    const auto retry = table ? table->terms[index(running->cls)].retry : RetryMode::none;
+    const std::size_t most = retry == RetryMode::twice ? 3 : retry == RetryMode::none ? 1 : 2;
     const auto target = table && running->tried.size() < most && clock_.now() < running->until
                             ? pick(*table, running->tried)
                             : std::nullopt;
     if (!target) return unserved(running, before, true);
     running->tried.push_back(*target);
     const auto begun = clock_.now();
-    const Nanos patience = std::min(running->until, begun + terms(running->cls).target_time);
+    const Nanos patience = std::min(running->until, begun + terms(running->cls).latency_objective);
     const auto& who = name(*target);
-    trace_.add(judge::Sent{begun, proxy_name(running->proxy), who, running->id});
+    trace_.add(checker::Sent{begun, proxy_name(running->proxy), who, running->id});
     auto& replica = replicas_[index(*target)];
-    if (replica.alive()) trace_.add(judge::Arrived{begun, who, running->id, running->work});
+    if (replica.alive()) trace_.add(checker::Arrived{begun, who, running->id, running->work});
     replica.take(
         running->work, patience,
         [this, &who, id = running->id] {
-          trace_.add(judge::Effect{clock_.now(), who, id});
+          trace_.add(checker::Effect{clock_.now(), who, id});
         },
         [this, running, target = *target, begun, retry](Outcome outcome) {
           tried(running, target, begun, retry, outcome);
         });
   }
 
-  void tried(const RunningPtr& running, ReplicaId target, Nanos begun, Retry retry, Outcome outcome) {
+  void tried(const RunningPtr& running, ReplicaId target, Nanos begun, RetryMode retry, Outcome outcome) {
     auto& met = proxies_[index(running->proxy)].met[target];
-    ++met.tries;
+    ++met.attempts;
     if (outcome == Outcome::done) {
       met.handled_seconds += seconds(clock_.now() - begun);
       met.load = load_of(target, clock_.now() - begun);
       return served(running);
     }
     ++met.failed;
-    const bool any_failure = retry == Retry::once || retry == Retry::twice;
+    const bool any_failure = retry == RetryMode::once || retry == RetryMode::twice;
     const bool may = outcome == Outcome::refused || any_failure;
     may ? try_one(running, outcome) : unserved(running, outcome, true);
   }
 
-  std::optional<ReplicaId> pick(const book::View& view, const std::vector<ReplicaId>& tried) {
+  std::optional<ReplicaId> pick(const routing_state::RoutingTable& view, const std::vector<ReplicaId>& tried) {
     double sum = 0;
-    const auto may = [&](const book::Line& line) {
+    const auto may = [&](const routing_state::TableEntry& line) {
       return std::find(tried.begin(), tried.end(), line.replica) == tried.end();
     };
     for (const auto& line : view.lines) sum += may(line) ? line.weight : 0;
@@ -458,16 +458,16 @@
     const auto& replica = replicas_[index(id)];
     for (const auto column : deployment_.settings.load_columns) {
       switch (column) {
-        case LoadColumn::util:
+        case LoadMetric::util:
           load.push_back(static_cast<float>(replica.util()));
           break;
-        case LoadColumn::inflight:
+        case LoadMetric::inflight:
           load.push_back(static_cast<float>(replica.in_hand()));
           break;
-        case LoadColumn::queue:
+        case LoadMetric::queue:
           load.push_back(static_cast<float>(replica.queued()));
           break;
-        case LoadColumn::latency:
+        case LoadMetric::latency:
           load.push_back(static_cast<float>(seconds(took) * 1e3));
           break;
         default:
@@ -477,27 +477,27 @@
     return load;
   }
 
-  ProbeAnswer probed(ReplicaId id) const {
+  HealthCheckResult probed(ReplicaId id) const {
     const auto& replica = replicas_[index(id)];
-    ProbeAnswer answer{id, replica.alive(), !replica.alive(), kProbeTime, {}};
+    HealthCheckResult answer{id, replica.alive(), !replica.alive(), kProbeTime, {}};
     if (replica.alive()) answer.load = load_of(id, kProbeTime);
     return answer;
   }
 
   void served(const RunningPtr& running) {
-    trace_.add(judge::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
+    trace_.add(checker::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
                                 clock_.now()});
   }
 
   void unserved(const RunningPtr& running, Outcome outcome, bool let_in) {
     if (let_in) ++proxies_[index(running->proxy)].asked[index(running->cls)].unanswered;
-    const bool safe = outcome == Outcome::refused || terms(running->cls).effect == Effect::idempotent;
+    const bool safe = outcome == Outcome::refused || terms(running->cls).effect == Idempotency::idempotent;
     const Nanos again = clock_.now() + kBackOff * (1 << running->repeats);
     boost::random::uniform_real_distribution<double> share(0, 1);
     const bool comes = safe && running->repeats < kRepeats && again < running->until &&
                        share(chance_) < fleet_.repeats[index(running->cls)];
     if (!comes) {
-      trace_.add(judge::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
+      trace_.add(checker::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
                                   std::nullopt});
       return;
     }
@@ -508,7 +508,7 @@
   // --- Reports, which come when they came
 
   void plan_reports() {
-    const Nanos every = deployment_.settings.report_every;
+    const Nanos every = deployment_.settings.report_interval;
     std::map<ProxyId, std::vector<const Report*>> by_proxy;
     std::vector<double> spans;
     for (const auto& report : history_.reports) {
@@ -560,21 +560,21 @@
                const std::vector<Asked>& asked) {
     Report report{id, to - span, to, clock_.now(), {}, asked};
     for (const auto& [replica, of] : met) {
-      const auto handled = of.tries - of.failed;
-      report.met.push_back({replica, of.tries, of.failed, {}, of.load});
-      if (handled > 0) report.met.back().mean_time = Nanos(std::llround(of.handled_seconds / handled * 1e9));
+      const auto handled = of.attempts - of.failed;
+      report.met.push_back({replica, of.attempts, of.failed, {}, of.load});
+      if (handled > 0) report.met.back().mean_latency = Nanos(std::llround(of.handled_seconds / handled * 1e9));
     }
     played_.reports.push_back(report);
     if (!governing_) return;
     const auto known = served_.find(id);
     const auto zone = known == served_.end() ? ZoneId{} : known->second;
     for (const auto& of : report.met) {
-      const ReplicaSum sum{zone, of.replica, of.tries, of.failed, of.mean_time, span, of.load};
-      governing_->call([&](Governor& governor, Nanos now) { governor.replica_summed(now, sum); });
+      const ReplicaLoadReport sum{zone, of.replica, of.attempts, of.failed, of.mean_latency, span, of.load};
+      governing_->call([&](Controller& governor, Nanos now) { governor.on_replica_load_report(now, sum); });
     }
     for (const auto& of : asked) {
-      governing_->call([&](Governor& governor, Nanos now) {
-        governor.demand_summed(now, id, {of.cls, of.operations, of.unanswered, span});
+      governing_->call([&](Controller& governor, Nanos now) {
+        governor.on_demand_report(now, id, {of.cls, of.operations, of.unanswered, span});
       });
     }
   }
@@ -601,8 +601,8 @@
   void finish() {
     note_counts();
     played_.counted = count(played_.reports, history_.length, served_, deployment_.settings);
-    played_.verdict = judge::judge(trace_, deployment_.limits, history_.length, played_.worst_waiting);
-    played_.service = judge::service_by_second(trace_, deployment_.limits, Nanos{}, history_.length);
+    played_.verdict = checker::judge(trace_, deployment_.limits, history_.length, played_.worst_waiting);
+    played_.service = checker::service_by_second(trace_, deployment_.limits, Nanos{}, history_.length);
   }
 
   const std::string& name(ReplicaId id) const { return history_.replicas[index(id)]; }
@@ -612,14 +612,14 @@
   const Deployment& deployment_;
   const Fleet& fleet_;
   std::mt19937 chance_;
-  Clockwork clock_;
+  EventQueue clock_;
   std::deque<ModelledReplica> replicas_;
-  std::vector<Phase> listed_;
+  std::vector<EndpointPhase> listed_;
   std::vector<ModelledProxy> proxies_;
   const std::map<ProxyId, ZoneId> served_;
   std::set<ProxyId> away_;
   std::optional<Governing> governing_;
-  judge::Trace trace_;
+  checker::Trace trace_;
   std::uint64_t last_ = 0;
   PlayedDay played_;
 };
--- a/src/whatif/played.h
+++ b/src/simulation/simulated_day.h
@@ -2,10 +2,10 @@
 // arguments give the same day.
 #pragma once
 
-#include "judge/judge.h"
-#include "whatif/fleet.h"
+#include "checker/invariant_checker.h"
+#include "simulation/fleet.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 
 // As proxies' reports count it, over one second.
 struct Counted {
@@ -26,7 +26,7 @@
 };
 
 struct PlayedDay {
-  judge::Verdict verdict;
+  checker::Verdict verdict;
   std::vector<Counted> counted;  // by second of the reports' spans
   std::vector<double> service;   // by second: worth answered in time, of that asked for
   std::vector<Shares> shares;    // once a second
--- a/src/adapter/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "adapter/adapter.h"
+#include "simulator/adapter.h"
 
 #include <unistd.h>
 
@@ -6,71 +6,71 @@
 #include <cstring>
 #include <string>
 
-#include "wire/settings.h"
+#include "simulator/settings.h"
 
 namespace ospreypost {
 namespace {
 
-using wire::ActionCode;
-using wire::EventCode;
-using wire::Malformed;
+using simulator::ActionCode;
+using simulator::EventCode;
+using simulator::ProtocolError;
 
 constexpr std::size_t kBatchHeader = 12;
 
-class WireHost : public Host {
+class WireHost : public ActionSink {
  public:
-  explicit WireHost(wire::Reply& reply) : reply_(reply) {}
+  explicit WireHost(simulator::ReplyFrame& reply) : reply_(reply) {}
 
-  void set_line(TableId table, ReplicaId replica, double weight) override {
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
     reply_.record(ActionCode::endpoint, replica, table, static_cast<float>(weight));
   }
   void clear_table(TableId table) override { reply_.record(ActionCode::empty, table); }
   void bind(ProxyId proxy, TableId table, ClassMask classes) override {
     reply_.record(ActionCode::pin, classes, table, proxy);
   }
-  void withdraw(ReplicaId replica, bool out) override {
+  void set_ejected(ReplicaId replica, bool out) override {
     reply_.record(ActionCode::cordon, replica, static_cast<std::uint8_t>(out));
   }
-  void set_level(TableId table, ClassMask classes, double level, Retry retry) override {
-    reply_.record(ActionCode::set_level, static_cast<float>(level), classes, retry, table);
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
+    reply_.record(ActionCode::set_admitted_fraction, static_cast<float>(level), classes, retry, table);
   }
-  void mark(MarkId mark, bool reach_all) override {
+  void request_acknowledgement(AckRequestId mark, bool reach_all) override {
     reply_.record(ActionCode::mark, static_cast<std::uint8_t>(reach_all), mark);
   }
-  void arm(Nanos from_now, TimerId timer) override {
+  void start_timer(Nanos from_now, TimerId timer) override {
     reply_.record(ActionCode::arm, static_cast<double>(from_now.count()) / 1e9, timer);
   }
-  void watch_list(bool on) override { reply_.record(ActionCode::watch, static_cast<std::uint8_t>(on)); }
-  void look_up_list() override { reply_.record(ActionCode::lookup); }
-  void probe(ReplicaId replica) override { reply_.record(ActionCode::ask_load, replica); }
-  void tell(std::optional<PeerId> peer, std::string_view message) override {
+  void watch_endpoint_list(bool on) override { reply_.record(ActionCode::watch, static_cast<std::uint8_t>(on)); }
+  void refresh_endpoint_list() override { reply_.record(ActionCode::lookup); }
+  void request_health_check(ReplicaId replica) override { reply_.record(ActionCode::ask_load, replica); }
+  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override {
     reply_.memo(static_cast<std::uint16_t>(peer.value_or(PeerId{65535})), message);
   }
   void log(std::string_view line) override { reply_.record_text(ActionCode::print, line); }
 
  private:
-  wire::Reply& reply_;
+  simulator::ReplyFrame& reply_;
 };
 
-std::vector<ListEntry> read_entries(wire::Reader& fields) {
+std::vector<EndpointUpdate> read_entries(simulator::FieldReader& fields) {
   constexpr std::size_t entry_bytes = 23;
   const auto count = fields.take<std::uint32_t>("records");
   if (count > fields.left() / entry_bytes) fields.complain("more list entries than the record holds");
-  std::vector<ListEntry> entries(count);
+  std::vector<EndpointUpdate> entries(count);
   for (auto& entry : entries) {
     entry.replica = ReplicaId{fields.take<std::uint32_t>("replica")};
     entry.zone = ZoneId{fields.take<std::uint16_t>("hall")};
-    entry.kind = KindId{fields.take<std::uint16_t>("hw")};
+    entry.kind = HardwareKindId{fields.take<std::uint16_t>("hw")};
     entry.cell = CellId{fields.take<std::uint16_t>("block")};
     switch (fields.take<std::uint8_t>("phase")) {
       case 1:
-        entry.phase = Phase::draining;
+        entry.phase = EndpointPhase::draining;
         break;
       case 2:
-        entry.phase = Phase::ready;
+        entry.phase = EndpointPhase::ready;
         break;
       case 3:
-        entry.phase = Phase::gone;
+        entry.phase = EndpointPhase::gone;
         break;
       default:
         fields.complain("unknown phase of a list entry");
@@ -82,8 +82,8 @@
   return entries;
 }
 
-Demand read_counts(wire::Reader& fields) {
-  Demand demand;
+DemandReport read_counts(simulator::FieldReader& fields) {
+  DemandReport demand;
   demand.operations = fields.take<std::uint32_t>("count");
   return demand;
 }
@@ -92,8 +92,8 @@
 
 struct Adapter::Instance {
   WireHost host;
-  Governor governor;
-  Instance(wire::Reply& reply, const Settings& settings, std::uint64_t seed, Nanos now)
+  Controller governor;
+  Instance(simulator::ReplyFrame& reply, const Settings& settings, std::uint64_t seed, Nanos now)
       : host(reply), governor(settings, seed, now, host) {}
 };
 
@@ -101,7 +101,7 @@
 Adapter::~Adapter() = default;
 
 std::span<const std::byte> Adapter::answer(std::span<const std::byte> frame) {
-  wire::Reader batch(frame, "batch");
+  simulator::FieldReader batch(frame, "batch");
   const auto length = batch.take<std::uint32_t>("length");
   if (length != frame.size()) batch.complain("length does not fit the frame");
   const auto now = batch.time("clock");
@@ -112,7 +112,7 @@
     const auto code = static_cast<EventCode>(batch.take<std::uint16_t>("code"));
     const auto size = batch.take<std::uint32_t>("record length");
     const auto body = batch.bytes(size, ("record at byte " + at).c_str());
-    wire::Reader fields(body, "record " + std::to_string(static_cast<unsigned>(code)) + " at byte " + at);
+    simulator::FieldReader fields(body, "record " + std::to_string(static_cast<unsigned>(code)) + " at byte " + at);
     if (code == EventCode::target_instance) {
       who = fields.take<std::uint32_t>("who");
       reply_.for_instance(*who);
@@ -125,40 +125,40 @@
   return reply_.finish();
 }
 
-void Adapter::handle(EventCode code, wire::Reader& fields, std::uint32_t who, Nanos now) {
+void Adapter::handle(EventCode code, simulator::FieldReader& fields, std::uint32_t who, Nanos now) {
   try {
     if (code == EventCode::halt) {
       instances_.erase(who);
     } else if (code == EventCode::launch) {
       const auto seed = fields.take<std::uint64_t>("nonce64");
       const auto size = fields.take<std::uint32_t>("profile-data");
-      const auto settings = wire::parse_settings(fields.text(size, "profile-data"));
+      const auto settings = simulator::parse_settings(fields.text(size, "profile-data"));
       instances_[who] = std::make_unique<Instance>(reply_, settings, seed, now);
     } else {
       const auto at = instances_.find(who);
       if (at == instances_.end()) fields.complain("instance " + std::to_string(who) + " is not running");
       call(at->second->governor, code, fields, now);
     }
-  } catch (const Malformed&) {
+  } catch (const ProtocolError&) {
     throw;
   } catch (const std::exception& error) {
     reply_.record_text(ActionCode::bail_out, error.what());
   }
 }
 
-void Adapter::call(Governor& governor, EventCode code, wire::Reader& fields, Nanos now) {
+void Adapter::call(Controller& governor, EventCode code, simulator::FieldReader& fields, Nanos now) {
   switch (code) {
     case EventCode::due:
-      governor.timer_due(now, TimerId{fields.take<std::uint64_t>("cookie")});
+      governor.on_timer(now, TimerId{fields.take<std::uint64_t>("cookie")});
       break;
     case EventCode::discovery: {
       fields.take<std::uint64_t>("serial");
       const auto scope = fields.take<std::uint8_t>("scope");
       const auto entries = read_entries(fields);
       if (scope == 3) {
-        governor.list_failed(now);
+        governor.on_endpoint_list_failed(now);
       } else if (scope < 3) {
-        governor.list_received(now, static_cast<ListKind>(scope), entries);
+        governor.on_endpoint_list(now, static_cast<EndpointListKind>(scope), entries);
       } else {
         fields.complain("unknown scope of a list");
       }
@@ -168,22 +168,22 @@
       const ProxyId proxy{fields.take<std::uint16_t>("edge")};
       const ZoneId zone{fields.take<std::uint16_t>("hall")};
       const double usual = fields.small_number("part");
-      governor.proxy_joined(now, proxy, zone, usual, fields.take<std::uint8_t>("yes") != 0);
+      governor.on_proxy_joined(now, proxy, zone, usual, fields.take<std::uint8_t>("yes") != 0);
       break;
     }
     case EventCode::parted:
-      governor.proxy_left(now, ProxyId{fields.take<std::uint16_t>("edge")});
+      governor.on_proxy_left(now, ProxyId{fields.take<std::uint16_t>("edge")});
       break;
     case EventCode::digest: {
-      ReplicaSum sum;
+      ReplicaLoadReport sum;
       sum.zone = ZoneId{fields.take<std::uint16_t>("hall")};
       sum.replica = ReplicaId{fields.take<std::uint32_t>("replica")};
-      sum.tries = fields.take<std::uint32_t>("count");
+      sum.attempts = fields.take<std::uint32_t>("count");
       sum.failed = fields.take<std::uint32_t>("bad");
-      sum.mean_time = fields.time("spent-s");
+      sum.mean_latency = fields.time("spent-s");
       sum.span = fields.time("elapsed-s");
       sum.load = fields.load("feedback");
-      governor.replica_summed(now, sum);
+      governor.on_replica_load_report(now, sum);
       break;
     }
     case EventCode::demand: {
@@ -193,7 +193,7 @@
       demand.cls = cls;
       demand.unanswered = fields.take<std::uint32_t>("bad");
       demand.span = fields.time("elapsed-s");
-      governor.demand_summed(now, proxy, demand);
+      governor.on_demand_report(now, proxy, demand);
       break;
     }
     case EventCode::slice_load: {
@@ -204,45 +204,45 @@
       demand.cls = cls;
       demand.unanswered = unanswered;
       demand.span = fields.time("elapsed-s");
-      governor.slice_demand_summed(now, slice, demand);
+      governor.on_slice_demand_report(now, slice, demand);
       break;
     }
     case EventCode::installed: {
       const auto took = fields.time("spent-s");
-      const MarkId mark{fields.take<std::uint64_t>("serial")};
-      governor.orders_applied(now, ProxyId{fields.take<std::uint16_t>("edge")}, mark, took);
+      const AckRequestId mark{fields.take<std::uint64_t>("serial")};
+      governor.on_acknowledged(now, ProxyId{fields.take<std::uint16_t>("edge")}, mark, took);
       break;
     }
     case EventCode::in_store: {
       const ReplicaId replica{fields.take<std::uint32_t>("replica")};
       const double weight = fields.small_number("part");
-      governor.slice_line_stored(now, TableId{fields.take<std::uint16_t>("sheet")}, replica, weight);
+      governor.on_slice_entry_stored(now, TableId{fields.take<std::uint16_t>("sheet")}, replica, weight);
       break;
     }
     case EventCode::mandate: {
       const TableId slice{fields.take<std::uint16_t>("sheet")};
       if (fields.take<std::uint8_t>("yes") != 0) {
-        governor.slice_given(now, slice);
+        governor.on_slice_granted(now, slice);
       } else {
-        governor.slice_revoked(now, slice);
+        governor.on_slice_revoked(now, slice);
       }
       break;
     }
     case EventCode::echo: {
-      ProbeAnswer answer;
+      HealthCheckResult answer;
       const auto disposition = fields.take<std::uint16_t>("disposition");
       answer.answered = disposition == 0;
       answer.refused = disposition == 11;
       answer.took = fields.time("spent-s");
       answer.replica = ReplicaId{fields.take<std::uint32_t>("replica")};
       answer.load = fields.load("feedback");
-      governor.probe_answered(now, answer);
+      governor.on_health_check_result(now, answer);
       break;
     }
     case EventCode::heard: {
       const PeerId peer{fields.take<std::uint16_t>("neighbour")};
       const auto size = fields.take<std::uint16_t>("msg");
-      governor.peer_said(now, peer, fields.text(size, "msg"));
+      governor.on_peer_message(now, peer, fields.text(size, "msg"));
       break;
     }
     case EventCode::halt:
@@ -260,7 +260,7 @@
   while (done < bytes.size()) {
     const auto got = ::read(input, bytes.data() + done, bytes.size() - done);
     if (got < 0 && errno == EINTR) continue;
-    if (got < 0) throw Malformed(std::string("reading: ") + std::strerror(errno));
+    if (got < 0) throw ProtocolError(std::string("reading: ") + std::strerror(errno));
     if (got == 0) break;
     done += static_cast<std::size_t>(got);
   }
@@ -271,7 +271,7 @@
   while (!bytes.empty()) {
     const auto put = ::write(output, bytes.data(), bytes.size());
     if (put < 0 && errno == EINTR) continue;
-    if (put < 0) throw Malformed(std::string("writing: ") + std::strerror(errno));
+    if (put < 0) throw ProtocolError(std::string("writing: ") + std::strerror(errno));
     bytes = bytes.subspan(static_cast<std::size_t>(put));
   }
 }
@@ -287,15 +287,15 @@
     frame.resize(kBatchHeader);
     const auto got = read_fully(input, frame);
     if (got == 0) return;
-    if (got < kBatchHeader) throw Malformed("batch: input ends within the header");
+    if (got < kBatchHeader) throw ProtocolError("batch: input ends within the header");
     std::uint32_t length = 0;
     std::memcpy(&length, frame.data(), sizeof(length));
-    if (length < kBatchHeader) throw Malformed("batch: length is shorter than its header");
+    if (length < kBatchHeader) throw ProtocolError("batch: length is shorter than its header");
     while (frame.size() < length) {
       const auto at = frame.size();
       frame.resize(std::min<std::size_t>(length, at + piece));
       if (read_fully(input, std::span(frame).subspan(at)) < frame.size() - at) {
-        throw Malformed("batch: input ends within a frame of " + std::to_string(length) + " bytes");
+        throw ProtocolError("batch: input ends within a frame of " + std::to_string(length) + " bytes");
       }
     }
     write_fully(output, adapter.answer(frame));
--- a/src/adapter/adapter.h
+++ b/src/simulator/adapter.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <span>
 
-#include "rules.h"
-#include "wire/codec.h"
+#include "policy/controller.h"
+#include "simulator/codec.h"
 
 namespace ospreypost {
 
@@ -21,10 +21,10 @@
 
  private:
   struct Instance;
-  void handle(wire::EventCode code, wire::Reader& fields, std::uint32_t who, Nanos now);
-  void call(Governor& governor, wire::EventCode code, wire::Reader& fields, Nanos now);
+  void handle(simulator::EventCode code, simulator::FieldReader& fields, std::uint32_t who, Nanos now);
+  void call(Controller& governor, simulator::EventCode code, simulator::FieldReader& fields, Nanos now);
 
-  wire::Reply reply_;
+  simulator::ReplyFrame reply_;
   std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
 };
 
--- a/src/wire/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -1,16 +1,16 @@
-#include "wire/codec.h"
+#include "simulator/codec.h"
 
 #include <algorithm>
 #include <bit>
 #include <cmath>
 
-namespace ospreypost::wire {
+namespace ospreypost::simulator {
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian, as is the reader");
 
-void Reader::complain(const std::string& what) const { throw Malformed(where_ + ": " + what); }
+void FieldReader::complain(const std::string& what) const { throw ProtocolError(where_ + ": " + what); }
 
-std::span<const std::byte> Reader::bytes(std::size_t count, const char* field) {
+std::span<const std::byte> FieldReader::bytes(std::size_t count, const char* field) {
   if (count > bytes_.size()) {
     complain(std::string(field) + " needs " + std::to_string(count) + " bytes, " +
              std::to_string(bytes_.size()) + " left");
@@ -20,55 +20,55 @@
   return part;
 }
 
-std::string_view Reader::text(std::size_t count, const char* field) {
+std::string_view FieldReader::text(std::size_t count, const char* field) {
   const auto part = bytes(count, field);
   return {reinterpret_cast<const char*>(part.data()), part.size()};
 }
 
-double Reader::number(const char* field) {
+double FieldReader::number(const char* field) {
   const auto value = take<double>(field);
   if (!std::isfinite(value)) complain(std::string(field) + " is not a finite number");
   return value;
 }
 
-float Reader::small_number(const char* field) {
+float FieldReader::small_number(const char* field) {
   const auto value = take<float>(field);
   if (!std::isfinite(value)) complain(std::string(field) + " is not a finite number");
   return value;
 }
 
-Nanos Reader::time(const char* field) {
+Nanos FieldReader::time(const char* field) {
   const double seconds = number(field);
   // Past 2^63 ns the conversion itself would be undefined.
   if (std::abs(seconds) > 9.0e9) complain(std::string(field) + " is out of range");
   return Nanos(std::llround(seconds * 1e9));
 }
 
-std::vector<float> Reader::load(const char* field) {
+std::vector<float> FieldReader::load(const char* field) {
   std::vector<float> values(take<std::uint8_t>(field));
   for (auto& value : values) value = small_number(field);
   return values;
 }
 
-void Reply::begin() {
+void ReplyFrame::begin() {
   frame_.assign(8, std::byte{});
   records_ = 0;
   announced_.reset();
 }
 
-void Reply::announce_instance() {
+void ReplyFrame::announce_instance() {
   if (announced_ == instance_) return;
   announced_ = instance_;
   put_record(ActionCode::instance, instance_);
 }
 
-void Reply::put_text(std::string_view text) {
+void ReplyFrame::put_text(std::string_view text) {
   put(static_cast<std::uint16_t>(text.size()));
   const auto* first = reinterpret_cast<const std::byte*>(text.data());
   frame_.insert(frame_.end(), first, first + text.size());
 }
 
-void Reply::record_text(ActionCode code, std::string_view text) {
+void ReplyFrame::record_text(ActionCode code, std::string_view text) {
   announce_instance();
   text = text.substr(0, 65535);
   put(static_cast<std::uint16_t>(code));
@@ -77,7 +77,7 @@
   ++records_;
 }
 
-void Reply::memo(std::uint16_t recipient, std::string_view text) {
+void ReplyFrame::memo(std::uint16_t recipient, std::string_view text) {
   announce_instance();
   text = text.substr(0, 256);
   put(static_cast<std::uint16_t>(ActionCode::memo_to));
@@ -87,7 +87,7 @@
   ++records_;
 }
 
-std::span<const std::byte> Reply::finish() {
+std::span<const std::byte> ReplyFrame::finish() {
   const std::uint32_t header[2] = {records_, static_cast<std::uint32_t>(frame_.size())};
   std::memcpy(frame_.data(), header, sizeof(header));
   return frame_;
--- a/src/wire/codec.h
+++ b/src/simulator/codec.h
@@ -10,12 +10,12 @@
 #include <string_view>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::wire {
+namespace ospreypost::simulator {
 
 // Input that does not fit the wire; its text names what and where.
-struct Malformed : std::runtime_error {
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -38,7 +38,7 @@
 };
 
 enum class ActionCode : std::uint16_t {
-  set_level = 320,
+  set_admitted_fraction = 320,
   cordon = 321,
   pin = 322,
   ask_load = 323,
@@ -57,9 +57,9 @@
 static_assert(sizeof(float) == 4 && sizeof(double) == 8);
 
 // Reads fields one after the other; `where` names the record in every complaint.
-class Reader {
+class FieldReader {
  public:
-  Reader(std::span<const std::byte> bytes, std::string where) : bytes_(bytes), where_(std::move(where)) {}
+  FieldReader(std::span<const std::byte> bytes, std::string where) : bytes_(bytes), where_(std::move(where)) {}
 
   template <typename T>
   T take(const char* field) {
@@ -83,9 +83,9 @@
 };
 
 // Builds one reply frame. Records belong to the instance last named with `for_instance`.
-class Reply {
+class ReplyFrame {
  public:
-  Reply() { begin(); }
+  ReplyFrame() { begin(); }
   void begin();
   void for_instance(std::uint32_t instance) { instance_ = instance; }
 
--- a/src/adapter/main.cpp
+++ b/src/simulator/main.cpp
@@ -3,7 +3,7 @@
 #include <exception>
 #include <iostream>
 
-#include "adapter/adapter.h"
+#include "simulator/adapter.h"
 
 int main() {
   try {
--- a/src/wire/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -1,4 +1,4 @@
-#include "wire/settings.h"
+#include "simulator/settings.h"
 
 #include <algorithm>
 #include <charconv>
@@ -9,9 +9,9 @@
 #include <string>
 #include <utility>
 
-#include "wire/codec.h"
+#include "simulator/codec.h"
 
-namespace ospreypost::wire {
+namespace ospreypost::simulator {
 namespace {
 
 class Pairs {
@@ -101,7 +101,7 @@
 
  private:
   [[noreturn]] static void fail(const std::string& key, const std::string& what) {
-    throw Malformed("settings: " + key + " " + what);
+    throw ProtocolError("settings: " + key + " " + what);
   }
   static double to_number(const std::string& key, std::string_view value) {
     double number = 0;
@@ -114,27 +114,27 @@
   std::map<std::string, std::string> values_;
 };
 
-LoadColumn load_column(std::string_view name) {
-  if (name == "inflight") return LoadColumn::inflight;
-  if (name == "queue") return LoadColumn::queue;
-  if (name == "util") return LoadColumn::util;
-  if (name == "latency_ms") return LoadColumn::latency;
-  if (name == "qps") return LoadColumn::rate;
-  if (name == "eps") return LoadColumn::errors;
-  return LoadColumn::other;
+LoadMetric load_column(std::string_view name) {
+  if (name == "inflight") return LoadMetric::inflight;
+  if (name == "queue") return LoadMetric::queue;
+  if (name == "util") return LoadMetric::util;
+  if (name == "latency_ms") return LoadMetric::latency;
+  if (name == "qps") return LoadMetric::rate;
+  if (name == "eps") return LoadMetric::errors;
+  return LoadMetric::other;
 }
 
 ClassSettings read_class(const Pairs& pairs, const std::string& at) {
   ClassSettings cls;
-  cls.effect = pairs.choice<Effect>(at + "effect", {{"idempotent", Effect::idempotent},
-                                                    {"deduplicated", Effect::deduplicated},
-                                                    {"at_most_once", Effect::at_most_once}});
-  cls.target_time = pairs.time(at + "on-time-s");
-  cls.abandon_time = pairs.time(at + "deadline-s");
-  cls.payoff = pairs.number(at + "worth");
-  cls.late_payoff = pairs.number_or(at + "late-value", 0);
-  cls.only_zones = pairs.ids<ZoneId>(at + "only-zones", "azs");
-  cls.only_kinds = pairs.ids<KindId>(at + "only-kinds", "skus");
+  cls.effect = pairs.choice<Idempotency>(at + "effect", {{"idempotent", Idempotency::idempotent},
+                                                    {"deduplicated", Idempotency::deduplicated},
+                                                    {"at_most_once", Idempotency::at_most_once}});
+  cls.latency_objective = pairs.time(at + "on-time-s");
+  cls.request_deadline = pairs.time(at + "deadline-s");
+  cls.priority_weight = pairs.number(at + "worth");
+  cls.late_priority_weight = pairs.number_or(at + "late-value", 0);
+  cls.allowed_zones = pairs.ids<ZoneId>(at + "only-zones", "azs");
+  cls.allowed_kinds = pairs.ids<HardwareKindId>(at + "only-kinds", "skus");
   return cls;
 }
 
@@ -144,50 +144,50 @@
   const Pairs pairs(text);
   Settings settings;
   const auto classes = pairs.count("classes.count");
-  if (classes > 16) throw Malformed("settings: classes.count is past what a class mask can name");
+  if (classes > 16) throw ProtocolError("settings: classes.count is past what a class mask can name");
   for (std::size_t k = 0; k < classes; ++k) {
     settings.classes.push_back(read_class(pairs, "classes." + std::to_string(k) + "."));
   }
-  const auto home_only = pairs.items("family-info.home-only");
-  for (std::size_t k = 0; k < classes && k < home_only.size(); ++k) {
-    settings.classes[k].home_only = Pairs::to_bool("family-info.home-only", home_only[k]);
+  const auto same_zone_only = pairs.items("family-info.home-only");
+  for (std::size_t k = 0; k < classes && k < same_zone_only.size(); ++k) {
+    settings.classes[k].same_zone_only = Pairs::to_bool("family-info.home-only", same_zone_only[k]);
   }
   settings.zones = pairs.items("azs").size();
   settings.own_zone = ZoneId{static_cast<std::uint16_t>(pairs.count("zone"))};
-  settings.list_by_asking =
+  settings.poll_endpoint_list =
       pairs.choice<bool>("membership-mode", {{"automatic", false}, {"subscribe", true}});
-  settings.may_probe = pairs.yes("allowed.may-probe");
-  settings.reporting = pairs.choice<Reporting>(
+  settings.health_checks_allowed = pairs.yes("allowed.may-probe");
+  settings.reporting = pairs.choice<ReportingMode>(
       "report.via",
-      {{"piggyback", Reporting::in_sums}, {"pull", Reporting::by_probe}, {"silent", Reporting::none}});
+      {{"piggyback", ReportingMode::in_load_reports}, {"pull", ReportingMode::by_health_check}, {"silent", ReportingMode::none}});
   for (const auto name : pairs.items("report.columns")) settings.load_columns.push_back(load_column(name));
-  settings.admission = pairs.choice<Admission>(
+  settings.admission = pairs.choice<AdmissionMode>(
       "family-info.admit",
-      {{"share", Admission::share}, {"rate", Admission::rate}, {"silent", Admission::ignored}});
-  settings.picking = pairs.choice<Picking>(
+      {{"share", AdmissionMode::share}, {"rate", AdmissionMode::rate}, {"silent", AdmissionMode::ignored}});
+  settings.picking = pairs.choice<PickingPolicy>(
       "family-info.selects-by",
-      {{"weighted", Picking::weighted}, {"round", Picking::round}, {"two", Picking::two}});
+      {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
   settings.governors = pairs.count("n-instances");
   settings.proxies = pairs.count("family-info.proxy-count");
   settings.proxies_by_zone = pairs.yes_or("family-info.zonal", false);
-  settings.connections_least = pairs.number_or("family-info.conns-least", 0);
+  settings.min_replica_connections = pairs.number_or("family-info.conns-least", 0);
   settings.slices = pairs.count("family-info.ranges");
   settings.slices_exclusive = pairs.yes("family-info.exclusive");
-  settings.report_every = pairs.time("family-info.report-every-s");
-  settings.message_time = pairs.time("family-info.transit-max-s");
-  settings.ask_within = pairs.time("contract.ask-within-s");
+  settings.report_interval = pairs.time("family-info.report-every-s");
+  settings.message_delay = pairs.time("family-info.transit-max-s");
+  settings.poll_timeout = pairs.time("contract.ask-within-s");
   settings.drain_grace = pairs.time("contract.stop-sending-within-s");
-  settings.bare_limit = pairs.time("family-info.bare-s");
-  settings.channel_lines_per_second = pairs.number("family-info.channel-rate");
-  settings.channel_most_waiting = pairs.number("family-info.most-waiting");
-  settings.message_head_lines = pairs.number("family-info.head");
-  settings.messages_allowed = pairs.count("family-info.pushes-allowed");
-  settings.messages_window = pairs.time("family-info.counted-over-s");
-  settings.cold_share = pairs.number("contract.cold-from");
-  settings.cold_time = pairs.time("contract.cold-s");
-  settings.fall_multiple = pairs.number("contract.tip-multiple");
-  settings.fall_time = pairs.time("contract.fall-s");
-  settings.only_draining_binds = pairs.yes_or("contract.drain-binds-alone", false);
+  settings.max_time_without_endpoints = pairs.time("family-info.bare-s");
+  settings.channel_entries_per_second = pairs.number("family-info.channel-rate");
+  settings.channel_max_queued_entries = pairs.number("family-info.most-waiting");
+  settings.message_overhead_entries = pairs.number("family-info.head");
+  settings.max_messages_per_window = pairs.count("family-info.pushes-allowed");
+  settings.message_window = pairs.time("family-info.counted-over-s");
+  settings.initial_warm_up_capacity = pairs.number("contract.cold-from");
+  settings.warm_up_duration = pairs.time("contract.cold-s");
+  settings.overload_multiple = pairs.number("contract.tip-multiple");
+  settings.overload_duration = pairs.time("contract.fall-s");
+  settings.only_draining_is_binding = pairs.yes_or("contract.drain-binds-alone", false);
   return settings;
 }
 
--- a/src/wire/settings.h
+++ b/src/simulator/settings.h
@@ -3,9 +3,9 @@
 
 #include <string_view>
 
-#include "rules.h"
+#include "policy/controller.h"
 
-namespace ospreypost::wire {
+namespace ospreypost::simulator {
 
 // Throws Malformed where a needed key is missing or a value cannot be read; unknown keys are ignored.
 Settings parse_settings(std::string_view text);
--- a/src/terms/deployment.cpp
+++ b/src/terms/deployment.cpp
@@ -4,8 +4,8 @@
 
 namespace ospreypost::terms {
 
-whatif::Deployment deployment_of(const config::Config& config) {
-  whatif::Deployment deployment;
+simulation::Deployment deployment_of(const config::Config& config) {
+  simulation::Deployment deployment;
   deployment.settings = config::module_settings(config);
   deployment.seed = config.seed;
   deployment.classes = config.classes;
--- a/src/terms/deployment.h
+++ b/src/terms/deployment.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "config/config.h"
-#include "whatif/fleet.h"
+#include "simulation/fleet.h"
 
 namespace ospreypost::terms {
 
-whatif::Deployment deployment_of(const config::Config& config);
+simulation::Deployment deployment_of(const config::Config& config);
 
 }  // namespace ospreypost::terms
--- a/src/terms/limits.cpp
+++ b/src/terms/limits.cpp
@@ -2,21 +2,21 @@
 
 namespace ospreypost::terms {
 
-judge::Limits limits_of(const config::Config& config) {
+checker::Limits limits_of(const config::Config& config) {
   const auto& settings = config.settings;
-  judge::Limits limits;
+  checker::Limits limits;
   limits.drain_grace = settings.drain_grace;
-  limits.only_draining_binds = settings.only_draining_binds;
-  limits.bare_limit = settings.bare_limit;
-  limits.fall_multiple = settings.fall_multiple;
-  limits.fall_time = settings.fall_time;
-  limits.messages_allowed = settings.messages_allowed;
-  limits.messages_window = settings.messages_window;
-  limits.most_waiting = settings.channel_most_waiting;
+  limits.only_draining_is_binding = settings.only_draining_is_binding;
+  limits.max_time_without_endpoints = settings.max_time_without_endpoints;
+  limits.overload_multiple = settings.overload_multiple;
+  limits.overload_duration = settings.overload_duration;
+  limits.max_messages_per_window = settings.max_messages_per_window;
+  limits.message_window = settings.message_window;
+  limits.most_waiting = settings.channel_max_queued_entries;
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto& cls = settings.classes[k];
-    limits.classes[config.classes[k]] = {cls.effect != Effect::idempotent, cls.target_time, cls.abandon_time,
-                                         cls.payoff, cls.late_payoff};
+    limits.classes[config.classes[k]] = {cls.effect != Idempotency::idempotent, cls.latency_objective, cls.request_deadline,
+                                         cls.priority_weight, cls.late_priority_weight};
   }
   for (const auto& proxy : config.proxies.known) {
     if (proxy.vouched) limits.vouched.push_back(proxy.name);
--- a/src/terms/limits.h
+++ b/src/terms/limits.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "config/config.h"
-#include "judge/judge.h"
+#include "checker/invariant_checker.h"
 
 namespace ospreypost::terms {
 
-judge::Limits limits_of(const config::Config& config);
+checker::Limits limits_of(const config::Config& config);
 
 }  // namespace ospreypost::terms
--- a/tests/rules_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -77,7 +77,7 @@
 
 TEST(Drains, AreWithdrawnAtOnce) {
   Scene scene;
-  scene.list(entry(4, 1, Phase::draining));
+  scene.list(entry(4, 1, EndpointPhase::draining));
   EXPECT_TRUE(scene.host.withdrawn.contains(kSick));
   scene.pass(10s);
   for (const auto& [table, lines] : scene.host.tables) EXPECT_FALSE(lines.contains(kSick));
@@ -85,28 +85,28 @@
 
 TEST(Drains, AMissingEntryOfACompleteListIsGone) {
   Scene scene;
-  scene.governor.list_received(scene.host.now, ListKind::complete, {entry(0, 0), entry(1, 1), entry(2, 2)});
+  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::complete, {entry(0, 0), entry(1, 1), entry(2, 2)});
   EXPECT_EQ(scene.host.withdrawn.size(), 6u);
 }
 
 TEST(Bare, ATripNeverTakesTheLastReplicaOfAClass) {
   auto settings = small_settings();
-  settings.classes[1].only_zones = {ZoneId{1}};
+  settings.classes[1].allowed_zones = {ZoneId{1}};
   Scene scene(settings, 9);
-  scene.list(entry(1, 1, Phase::gone));
-  scene.list(entry(7, 1, Phase::gone));
+  scene.list(entry(1, 1, EndpointPhase::gone));
+  scene.list(entry(7, 1, EndpointPhase::gone));
   for (int s = 0; s < 10; ++s) scene.second({{4, 10}});
   EXPECT_FALSE(scene.host.withdrawn.contains(kSick));
 }
 
 TEST(Bare, ADeathBringsBackWhatTheBreakerHeld) {
   auto settings = small_settings();
-  settings.classes[1].only_zones = {ZoneId{1}};
+  settings.classes[1].allowed_zones = {ZoneId{1}};
   Scene scene(settings, 9);
   for (int s = 0; s < 3; ++s) scene.second();
   ASSERT_GE(scene.seconds_until(4, true, {{4, 10}}, 10), 0);
-  scene.list(entry(1, 1, Phase::gone));
-  scene.list(entry(7, 1, Phase::gone));
+  scene.list(entry(1, 1, EndpointPhase::gone));
+  scene.list(entry(7, 1, EndpointPhase::gone));
   scene.pass(1s);
   EXPECT_FALSE(scene.host.withdrawn.contains(kSick));
 }
@@ -116,7 +116,7 @@
   auto fresh = entry(4, 1);
   for (int s = 0; s < 3; ++s) scene.second();
   const double full = scene.host.part(ProxyId{1}, kSick);
-  scene.list(entry(4, 1, Phase::gone));
+  scene.list(entry(4, 1, EndpointPhase::gone));
   scene.pass(1s);
   fresh.started = scene.host.now;
   scene.list(fresh);
@@ -131,7 +131,7 @@
 // is sure to be warm soon stood at the floor all the while.
 TEST(Cold, WhatIsSoonWarmClimbsWithoutEvidence) {
   auto settings = small_settings();
-  settings.cold_time = 1s;
+  settings.warm_up_duration = 1s;
   Scene scene(settings);
   const double full = scene.host.part(ProxyId{1}, kSick);
   scene.restart(4, 1);
@@ -144,16 +144,16 @@
 // Found by a full regression: on an overloaded release day a replica that climbed so was pushed over.
 // What is warm before it could be pushed over need not wait: on a recorded day half the fleet did.
 TEST(Cold, UnderPressureANewReplicaThatCouldFallClimbsOnEvidenceOnly) {
-  for (const auto fall_time : {500ms, 2000ms}) {
+  for (const auto overload_duration : {500ms, 2000ms}) {
     auto settings = small_settings();
-    settings.cold_time = 1s;
-    settings.fall_time = fall_time;
+    settings.warm_up_duration = 1s;
+    settings.overload_duration = overload_duration;
     Scene scene(settings);
     for (int s = 0; s < 3; ++s) scene.second({}, 0, 10, 1.0F);
     const double full = scene.host.part(ProxyId{1}, kSick);
     scene.restart(4, 1);
     scene.pass(5s);
-    EXPECT_EQ(scene.host.part(ProxyId{1}, kSick) > 0.5 * full, fall_time > settings.cold_time);
+    EXPECT_EQ(scene.host.part(ProxyId{1}, kSick) > 0.5 * full, overload_duration > settings.warm_up_duration);
   }
 }
 
@@ -186,12 +186,12 @@
 
 TEST(Shedding, ACrowdedFleetLetsInLessOfWhatPaysLeast) {
   auto settings = small_settings();
-  settings.classes[1].payoff = 5;
+  settings.classes[1].priority_weight = 5;
   Scene scene(settings);
   for (int s = 0; s < 6; ++s) {
     for (std::uint16_t p = 0; p < 3; ++p) {
       for (std::uint16_t k = 0; k < 2; ++k) {
-        scene.governor.demand_summed(scene.host.now, ProxyId{p}, Demand{ClassId{k}, 20, 0, 1s});
+        scene.governor.on_demand_report(scene.host.now, ProxyId{p}, DemandReport{ClassId{k}, 20, 0, 1s});
       }
     }
     scene.second({}, 6, 10, 0.8F);
@@ -211,15 +211,15 @@
   Scene scene;
   for (int s = 0; s < 5; ++s) scene.second({}, 7);
   ASSERT_FALSE(scene.host.levels.empty());
-  EXPECT_EQ(scene.host.levels.back().retry, Retry::none);
+  EXPECT_EQ(scene.host.levels.back().retry, RetryMode::none);
   for (int s = 0; s < 25; ++s) scene.second();
-  EXPECT_EQ(scene.host.levels.back().retry, Retry::after_proof);
+  EXPECT_EQ(scene.host.levels.back().retry, RetryMode::after_rejection_proof);
 }
 
 TEST(Channel, AJoiningWaveWaitsForItsTurn) {
   auto settings = small_settings();
-  settings.channel_most_waiting = 30;
-  settings.channel_lines_per_second = 10;
+  settings.channel_max_queued_entries = 30;
+  settings.channel_entries_per_second = 10;
   Scene scene(settings);
   // A binding is some 11 lines, and all three are past what joins may fill.
   EXPECT_EQ(scene.host.bindings.size(), 2u);
@@ -230,7 +230,7 @@
 Settings large_settings() {
   auto settings = small_settings();
   settings.proxies = 300;
-  settings.connections_least = 60;
+  settings.min_replica_connections = 60;
   return settings;
 }
 
@@ -238,22 +238,22 @@
 struct LargeScene {
   // Its channel runs at its stated pace.
   LargeScene()
-      : host(large_settings().message_head_lines, large_settings().channel_lines_per_second),
+      : host(large_settings().message_overhead_entries, large_settings().channel_entries_per_second),
         governor(large_settings(), 7, host.now, host) {
     for (std::uint32_t id = 0; id < 240; ++id) {
       entries.push_back(entry(id, static_cast<std::uint16_t>(id % 3)));
       entries.back().cell = CellId{static_cast<std::uint16_t>(id / 18)};
     }
-    governor.list_received(host.now, ListKind::cached, entries);
+    governor.on_endpoint_list(host.now, EndpointListKind::cached, entries);
     for (std::uint16_t p = 0; p < 300; ++p) {
-      governor.proxy_joined(host.now, ProxyId{p}, ZoneId{static_cast<std::uint16_t>(p % 3)}, 3, true);
+      governor.on_proxy_joined(host.now, ProxyId{p}, ZoneId{static_cast<std::uint16_t>(p % 3)}, 3, true);
       host.take();
     }
   }
   void pass(Nanos span) { host.pass(governor, span); }
   ChannelHost host;
-  std::vector<ListEntry> entries;
-  Governor governor;
+  std::vector<EndpointUpdate> entries;
+  Controller governor;
 };
 
 // Found on the grown deployments: whole tables a zone fill the channel and open too many connections.
@@ -286,9 +286,9 @@
 TEST(Channel, DrainsGoOutWhateverElseWaits) {
   LargeScene scene;
   scene.pass(1s);
-  std::vector<ListEntry> draining;
-  for (std::uint32_t id = 0; id < 60; ++id) draining.push_back(entry(id, id % 3, Phase::draining));
-  scene.governor.list_received(scene.host.now, ListKind::changes, draining);
+  std::vector<EndpointUpdate> draining;
+  for (std::uint32_t id = 0; id < 60; ++id) draining.push_back(entry(id, id % 3, EndpointPhase::draining));
+  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes, draining);
   scene.pass(2s);
   EXPECT_EQ(scene.host.withdrawn.size(), 60u);
   for (const auto& [table, lines] : scene.host.tables) EXPECT_GT(lines.size(), 0u);
@@ -298,12 +298,12 @@
 TEST(Listing, AListThatLosesMuchAtOnceIsDoubtedUntilTriesFail) {
   for (const bool gone_binds : {false, true}) {
     auto settings = small_settings();
-    settings.only_draining_binds = !gone_binds;
+    settings.only_draining_is_binding = !gone_binds;
     Scene scene(settings);
     for (int s = 0; s < 3; ++s) scene.second();
-    std::vector<ListEntry> left;
+    std::vector<EndpointUpdate> left;
     for (std::uint32_t id = 0; id < 4; ++id) left.push_back(entry(id, id % 3));
-    scene.governor.list_received(scene.host.now, ListKind::complete, left);
+    scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::complete, left);
     scene.pass(1s);
     EXPECT_EQ(scene.host.withdrawn.size(), gone_binds ? 5u : 0u);
     for (int s = 0; s < 4; ++s) scene.second({{4, 10}});
@@ -332,7 +332,7 @@
   Scene scene;
   scene.restart_into_a_jam(4, 1);
   ASSERT_TRUE(scene.host.withdrawn.contains(kSick));
-  for (const std::uint32_t id : {1, 7}) scene.list(entry(id, 1, Phase::gone));
+  for (const std::uint32_t id : {1, 7}) scene.list(entry(id, 1, EndpointPhase::gone));
   for (int s = 0; s < 4; ++s) scene.second();
   EXPECT_FALSE(scene.host.withdrawn.contains(kSick));
 }
@@ -342,7 +342,7 @@
   Scene scene;
   for (std::uint32_t id = 100; id < 120; ++id) scene.list(entry(id, id % 3));
   for (int s = 0; s < 3; ++s) scene.second();
-  for (std::uint32_t id = 100; id < 120; ++id) scene.list(entry(id, id % 3, Phase::gone));
+  for (std::uint32_t id = 100; id < 120; ++id) scene.list(entry(id, id % 3, EndpointPhase::gone));
   scene.pass(30s);
   EXPECT_EQ(scene.host.withdrawn.size(), 20u);
   scene.pass(60s);
@@ -357,10 +357,10 @@
 
 TEST(Listing, AFailedWatchIsAskedAnewAfterAWhile) {
   auto settings = small_settings();
-  settings.list_by_asking = true;
+  settings.poll_endpoint_list = true;
   Scene scene(settings);
   ASSERT_EQ(scene.host.watches, 1);
-  scene.governor.list_failed(scene.host.now);
+  scene.governor.on_endpoint_list_failed(scene.host.now);
   EXPECT_EQ(scene.host.watches, 1);
   scene.pass(5s);
   EXPECT_EQ(scene.host.watches, 2);
@@ -373,44 +373,44 @@
   std::mt19937 chance(GetParam());
   const auto roll = [&](unsigned n) { return static_cast<std::uint32_t>(chance() % n); };
   auto settings = small_settings();
-  if (roll(2)) settings.classes[1].only_zones = {ZoneId{0}, ZoneId{2}};
+  if (roll(2)) settings.classes[1].allowed_zones = {ZoneId{0}, ZoneId{2}};
   Scene scene(settings, 9);
-  std::map<std::uint32_t, Phase> listed;
+  std::map<std::uint32_t, EndpointPhase> listed;
   std::map<std::uint32_t, Nanos> told;
-  for (std::uint32_t id = 0; id < 9; ++id) listed[id] = Phase::ready;
+  for (std::uint32_t id = 0; id < 9; ++id) listed[id] = EndpointPhase::ready;
   for (int step = 0; step < 60; ++step) {
     std::map<std::uint32_t, unsigned> failed;
     for (std::uint32_t id = 0; id < 9; ++id) failed[id] = roll(4) ? 0 : roll(11);
     scene.second(failed, 0, 1 + roll(12));
     if (roll(3) == 0) {
       const auto id = roll(9);
-      const auto phase = static_cast<Phase>(roll(3));
+      const auto phase = static_cast<EndpointPhase>(roll(3));
       const auto others = std::count_if(listed.begin(), listed.end(), [&](const auto& l) {
-        return l.first != id && l.second == Phase::ready;
+        return l.first != id && l.second == EndpointPhase::ready;
       });
-      if (phase == Phase::ready || others >= 4) {
-        if (phase != Phase::ready && listed[id] == Phase::ready) told[id] = scene.host.now;
+      if (phase == EndpointPhase::ready || others >= 4) {
+        if (phase != EndpointPhase::ready && listed[id] == EndpointPhase::ready) told[id] = scene.host.now;
         auto e = entry(id, static_cast<std::uint16_t>(id % 3), phase);
-        if (phase == Phase::ready && listed[id] != Phase::ready) e.started = scene.host.now;
+        if (phase == EndpointPhase::ready && listed[id] != EndpointPhase::ready) e.started = scene.host.now;
         if (phase != listed[id]) scene.list(e);
         listed[id] = phase;
       }
     }
     if (roll(8) == 0) {
       const ProxyId proxy{static_cast<std::uint16_t>(roll(3))};
-      scene.governor.proxy_left(scene.host.now, proxy);
+      scene.governor.on_proxy_left(scene.host.now, proxy);
       for (unsigned k = 0; k < 2; ++k) scene.host.bound.erase({proxy, k});
-      scene.governor.proxy_joined(scene.host.now, proxy, ZoneId{static_cast<std::uint16_t>(proxy)}, 20,
+      scene.governor.on_proxy_joined(scene.host.now, proxy, ZoneId{static_cast<std::uint16_t>(proxy)}, 20,
                                   false);
     }
     const auto& host = scene.host;
     for (const auto& [id, phase] : listed) {
-      if (phase != Phase::ready && host.now - told[id] > settings.drain_grace - settings.message_time) {
+      if (phase != EndpointPhase::ready && host.now - told[id] > settings.drain_grace - settings.message_delay) {
         EXPECT_TRUE(host.withdrawn.contains(ReplicaId{id})) << "drain of " << id << " at step " << step;
       }
     }
     for (const auto& [at, table] : host.bound) {
-      const auto& only = settings.classes[at.second].only_zones;
+      const auto& only = settings.classes[at.second].allowed_zones;
       bool open = false, served = false;
       for (const auto& [id, phase] : listed) {
         const ZoneId zone{static_cast<std::uint16_t>(id % 3)};
@@ -419,18 +419,18 @@
           EXPECT_FALSE(host.tables.at(table).contains(ReplicaId{id}));
           continue;
         }
-        open |= phase == Phase::ready;
+        open |= phase == EndpointPhase::ready;
         served |= host.tables.at(table).contains(ReplicaId{id}) && !host.withdrawn.contains(ReplicaId{id});
       }
       EXPECT_TRUE(served || !open) << "bare at step " << step;
     }
     for (const auto& level : host.levels) {
-      EXPECT_FALSE((level.classes == 0 || (level.classes & 2u)) && level.retry > Retry::after_proof);
+      EXPECT_FALSE((level.classes == 0 || (level.classes & 2u)) && level.retry > RetryMode::after_rejection_proof);
     }
     EXPECT_EQ(host.repeated, 0);
     const auto recent = std::count_if(host.messages.begin(), host.messages.end(),
-                                      [&](Nanos at) { return at > host.now - settings.messages_window; });
-    EXPECT_LE(recent, static_cast<long>(settings.messages_allowed));
+                                      [&](Nanos at) { return at > host.now - settings.message_window; });
+    EXPECT_LE(recent, static_cast<long>(settings.max_messages_per_window));
   }
 }
 
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -13,7 +13,7 @@
 std::string fault_of(const std::string& from, const std::string& to) {
   try {
     parse_config(test::with(test::small_config_text(), from, to), "file");
-  } catch (const Faulty& fault) {
+  } catch (const ConfigError& fault) {
     return fault.what();
   }
   return "none";
@@ -22,12 +22,12 @@
 TEST(Config, ReachesTheModulesSettings) {
   const auto config = test::small_config();
   EXPECT_EQ(config.settings.drain_grace, 3s);
-  EXPECT_EQ(config.settings.messages_allowed, 12U);
+  EXPECT_EQ(config.settings.max_messages_per_window, 12U);
   EXPECT_EQ(config.settings.proxies, 3U);
-  EXPECT_EQ(config.settings.classes[1].effect, Effect::at_most_once);
-  EXPECT_EQ(config.settings.reporting, Reporting::in_sums);
-  EXPECT_EQ(config.settings.load_columns, std::vector{LoadColumn::util});
-  EXPECT_FALSE(config.settings.may_probe);
+  EXPECT_EQ(config.settings.classes[1].effect, Idempotency::at_most_once);
+  EXPECT_EQ(config.settings.reporting, ReportingMode::in_load_reports);
+  EXPECT_EQ(config.settings.load_columns, std::vector{LoadMetric::util});
+  EXPECT_FALSE(config.settings.health_checks_allowed);
   EXPECT_EQ(config.proxies.known[2].zone, ZoneId{1});
   EXPECT_FALSE(config.proxies.known[2].vouched);
 }
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -9,7 +9,7 @@
 #include "dns/server.h"
 #include "dns/weights.h"
 #include "program/support.h"
-#include "standin/stub.h"
+#include "fakes/stub.h"
 
 namespace ospreypost::dns {
 namespace {
@@ -43,40 +43,40 @@
 }
 
 // A core that tells what a test wants told.
-struct FakeCore : front::Core {
+struct FakeCore : delivery::PullService {
   FakeCore() {
-    front::Directory made;
+    delivery::EndpointDirectory made;
     for (int n = 0; n < 200; ++n) {
       const auto name = "unit-" + std::to_string(n);
       made.by_name[name] = ReplicaId{static_cast<std::uint32_t>(n)};
       made.replicas.push_back(
           {name, "east", {n == 3 ? "::1" : "127.0.0.9", static_cast<std::uint16_t>(9000 + n)}, n == 2});
     }
-    directory_ = std::make_shared<front::Directory>(std::move(made));
+    directory_ = std::make_shared<delivery::EndpointDirectory>(std::move(made));
     hold(2);
   }
   void hold(std::uint32_t lines) {
-    auto view = std::make_shared<book::View>();
+    auto view = std::make_shared<routing_state::RoutingTable>();
     for (std::uint32_t id = 0; id < lines; ++id) view->lines.push_back({ReplicaId{id}, id + 1.0});
-    view->terms = {{0.5, Retry::once}, {1, Retry::after_proof}};
-    auto holding = std::make_shared<book::Holding>();
-    holding->since = book::VersionNumber{5};
+    view->terms = {{0.5, RetryMode::once}, {1, RetryMode::after_rejection_proof}};
+    auto holding = std::make_shared<routing_state::ProxySnapshot>();
+    holding->since = routing_state::SnapshotVersion{5};
     holding->views = {view, view};
     const std::lock_guard held(lock);
     told.holding = holding;
-    told.verdict = {lifetime::Service::replicas, lifetime::Lifetime{2}};
+    told.verdict = {dns::ClientService::replicas, dns::Ttl{2}};
     told.directory = directory_;
   }
-  front::Told asked(ProxyId, ClassId) override {
+  delivery::PullAnswer asked(ProxyId, ClassId) override {
     const std::lock_guard held(lock);
     return told;
   }
-  front::Told asked_zone(ZoneId) override { return asked({}, {}); }
-  std::shared_ptr<const front::Directory> directory() const override { return directory_; }
-  book::VersionNumber version() const override { return book::VersionNumber{5}; }
+  delivery::PullAnswer asked_zone(ZoneId) override { return asked({}, {}); }
+  std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return directory_; }
+  routing_state::SnapshotVersion version() const override { return routing_state::SnapshotVersion{5}; }
   std::mutex lock;
-  front::Told told;
-  std::shared_ptr<const front::Directory> directory_;
+  delivery::PullAnswer told;
+  std::shared_ptr<const delivery::EndpointDirectory> directory_;
 };
 
 struct Scene {
@@ -143,7 +143,7 @@
 
 TEST(Responder, WhoCannotBeHeldGetsProxiesAndNeverReplicas) {
   Scene scene;
-  scene.core.told.verdict = {lifetime::Service::proxies, lifetime::Lifetime{1}};
+  scene.core.told.verdict = {dns::ClientService::proxies, dns::Ttl{1}};
   scene.core.told.entries = {{ProxyId{1}, ZoneId{1}, {"127.0.0.1", 7002}},
                              {ProxyId{0}, ZoneId{0}, {"127.0.0.1", 7001}}};
   const auto answer = scene.ask("_sign-job._tcp.forwarder-3.proxies.farm.example.");
@@ -164,11 +164,11 @@
   EXPECT_EQ(scene.ask(kName).id, 7);
   scene.core.hold(3);
   EXPECT_EQ(scene.ask(kName).answers.size(), 3U);
-  scene.core.told.verdict.lifetime = lifetime::Lifetime{1};
+  scene.core.told.verdict.lifetime = dns::Ttl{1};
   EXPECT_EQ(scene.ask(kName).answers[0].lifetime, 1U);
-  scene.core.told.verdict.service = lifetime::Service::proxies;
+  scene.core.told.verdict.service = dns::ClientService::proxies;
   EXPECT_TRUE(scene.ask(kName).answers.empty());
-  scene.core.told.verdict.service = lifetime::Service::replicas;
+  scene.core.told.verdict.service = dns::ClientService::replicas;
   scene.core.told.holding = nullptr;
   EXPECT_EQ(scene.ask(kName).code, Code::server_failure);
 }
@@ -247,12 +247,12 @@
 
 TEST(Server, AnswersLibcsResolverByUdpAndByTcp) {
   Serving serving;
-  const auto small = standin::resolve(serving.server->address(), kName);
-  ASSERT_EQ(small.kind, standin::Resolved::Kind::answer);
+  const auto small = fakes::resolve(serving.server->address(), kName);
+  ASSERT_EQ(small.kind, fakes::Resolved::Kind::answer);
   EXPECT_EQ(small.version, 5U);
   EXPECT_EQ(small.retry, "after-proof");
   serving.core.hold(1);
-  EXPECT_EQ(standin::resolve(serving.server->address(), kName).targets.at(0).address,
+  EXPECT_EQ(fakes::resolve(serving.server->address(), kName).targets.at(0).address,
             (net::Address{"127.0.0.9", 9000}));
 }
 
--- a/tests/program/crossings_test.cpp
+++ b/tests/program/event_ordering_test.cpp
@@ -13,7 +13,7 @@
 #include <fstream>
 #include <mutex>
 
-#include "platform/service.h"
+#include "platform/platform_server.h"
 #include "program/platform_support.h"
 
 namespace ospreypost::platform {
@@ -75,13 +75,13 @@
   std::vector<net::Socket> waiting_;
 };
 
-struct Told : sources::RegistrySink {
-  void roster_received(const sources::Roster& roster) override {
+struct Told : discovery::EndpointListHandler {
+  void on_endpoint_list_update(const discovery::EndpointListUpdate& roster) override {
     const std::lock_guard held(lock);
     revisions.push_back(roster.revision);
     changed.notify_all();
   }
-  void registry_silent(const std::string&) override {}
+  void on_discovery_silent(const std::string&) override {}
   bool waits_for(std::uint64_t revision) {
     std::unique_lock held(lock);
     return changed.wait_for(held, 10s, [&] { return !revisions.empty() && revisions.back() == revision; });
@@ -91,8 +91,8 @@
   std::vector<std::uint64_t> revisions;
 };
 
-sources::Registry::Waits waits(net::Steady::duration connect, net::Steady::duration silence) {
-  sources::Registry::Waits made;
+discovery::DiscoveryWatcher::Waits waits(net::Steady::duration connect, net::Steady::duration silence) {
+  discovery::DiscoveryWatcher::Waits made;
   made.connect = connect;
   made.silence = silence;
   return made;
@@ -103,7 +103,7 @@
 TEST(RegistryCrossings, TheEndComesWhileItConnects) {
   const FullListener nobody;
   Told told;
-  sources::Registry registry(nobody.address(), 5, told, waits(kLong, kLong));
+  discovery::DiscoveryWatcher registry(nobody.address(), 5, told, waits(kLong, kLong));
   nobody.wait_until_dialled();
   registry.stop();
 }
@@ -111,7 +111,7 @@
 TEST(RegistryCrossings, AMoveComesWhileItConnects) {
   const FullListener nobody;
   Told told;
-  sources::Registry registry(nobody.address(), 5, told, waits(kLong, kLong));
+  discovery::DiscoveryWatcher registry(nobody.address(), 5, told, waits(kLong, kLong));
   nobody.wait_until_dialled();
   Discovery other;
   registry.move_to(net::Address::parse(other.address()));
@@ -121,7 +121,7 @@
 TEST(RegistryCrossings, AWishForTheWholeListComesWhileItConnects) {
   FullListener nobody;
   Told told;
-  sources::Registry registry(nobody.address(), 5, told, waits(kLong, kLong));
+  discovery::DiscoveryWatcher registry(nobody.address(), 5, told, waits(kLong, kLong));
   nobody.wait_until_dialled();
   registry.look();
   const auto taken = nobody.open();
@@ -139,7 +139,7 @@
 TEST(RegistryCrossings, ASecondMoveComesWhileTheFirstConnects) {
   const FullListener first, second;
   Told told;
-  sources::Registry registry(first.address(), 5, told, waits(kLong, kLong));
+  discovery::DiscoveryWatcher registry(first.address(), 5, told, waits(kLong, kLong));
   first.wait_until_dialled();
   registry.move_to(second.address());
   second.wait_until_dialled();
@@ -154,7 +154,7 @@
 TEST(RegistryCrossings, HalfALineAndThenSilence) {
   Discovery discovery;
   Told told;
-  sources::Registry registry(net::Address::parse(discovery.address()), 5, told, waits(10s, 100ms));
+  discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, told, waits(10s, 100ms));
   discovery.next_watch();
   discovery.write("40\r\n{\"revision\":6,");
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=5");
@@ -165,7 +165,7 @@
        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n", "HTTP/1.1 200 OK\r\nX-Pad: "}) {
     Discovery discovery;
     Told told;
-    sources::Registry registry(net::Address::parse(discovery.address()), 5, told, waits(10s, 200ms));
+    discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, told, waits(10s, 200ms));
     discovery.next_request();
     bool left = false;
     std::size_t written = 0;
@@ -186,7 +186,7 @@
 
 struct Following : testing::Test {
   Discovery discovery;
-  Environment environment = parse_environment(test::platform_config(discovery.address()), "test");
+  PlatformConfig environment = parse_platform_config(test::platform_config(discovery.address()), "test");
   Service service{environment, std::make_shared<spdlog::logger>("test")};
   test::Peer proxy{service.address()};
 
@@ -239,7 +239,7 @@
   Told told;
   auto short_waits = waits(10s, 10s);
   short_waits.behind = 50ms;
-  sources::Registry registry(net::Address::parse(discovery.address()), 41, told, short_waits);
+  discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 41, told, short_waits);
   discovery.next_watch();
   discovery.say(test::roster(7, true, test::member("a")));
   std::this_thread::sleep_for(60ms);
@@ -272,14 +272,14 @@
 // --- Streams
 
 // Notes what it is told, and holds the streams' thread while a test arranges what it will find.
-struct HeldSink : StreamSink {
-  void proxy_joined(ProxyId proxy, ZoneId, double, bool) override {
+struct HeldSink : StreamEventHandler {
+  void on_proxy_joined(ProxyId proxy, ZoneId, double, bool) override {
     note("joined " + std::to_string(static_cast<int>(proxy)));
   }
-  void proxy_left(ProxyId proxy) override { note("left " + std::to_string(static_cast<int>(proxy))); }
-  void replica_summed(const ReplicaSum&) override { note("sum"); }
-  void demand_summed(ProxyId, const Demand&) override { note("demand"); }
-  void mark_answered(ProxyId, std::uint64_t, Nanos) override { note("answer"); }
+  void on_proxy_left(ProxyId proxy) override { note("left " + std::to_string(static_cast<int>(proxy))); }
+  void on_replica_load_report(const ReplicaLoadReport&) override { note("sum"); }
+  void on_demand_report(ProxyId, const DemandReport&) override { note("demand"); }
+  void on_acknowledgement(ProxyId, std::uint64_t, Nanos) override { note("answer"); }
   std::vector<ProxyId> due() override {
     std::unique_lock waits(lock);
     ++turns;
@@ -332,13 +332,13 @@
 
 struct Crossing : testing::Test {
   HeldSink sink;
-  std::unique_ptr<Streams> streams = make(40);
-  std::unique_ptr<Streams> make(std::size_t most) {
-    Vocabulary vocabulary;
+  std::unique_ptr<StreamServer> streams = make(40);
+  std::unique_ptr<StreamServer> make(std::size_t most) {
+    MessageNames vocabulary;
     vocabulary.classes = {"read"};
     vocabulary.zones = {"east"};
     vocabulary.proxies = 400;
-    return std::make_unique<Streams>(net::Address{"127.0.0.1", 0}, most, vocabulary, sink);
+    return std::make_unique<StreamServer>(net::Address{"127.0.0.1", 0}, most, vocabulary, sink);
   }
   void TearDown() override {
     sink.go_on();
@@ -525,11 +525,11 @@
         ",";
   members += test::member("well", "SERVING", net::local_address(healthy).text());
   auto config = test::platform_config();
-  const std::string in_sums = R"("via":"piggyback")", known = R"("members":[)";
-  config.replace(config.find(in_sums), in_sums.size(), R"("via":"pull")");
+  const std::string in_load_reports = R"("via":"piggyback")", known = R"("members":[)";
+  config.replace(config.find(in_load_reports), in_load_reports.size(), R"("via":"pull")");
   const auto from = config.find(known) + known.size();
   config.replace(from, config.find("]", from) - from, members);
-  Service service(parse_environment(config, "test"), std::make_shared<spdlog::logger>("test"));
+  Service service(parse_platform_config(config, "test"), std::make_shared<spdlog::logger>("test"));
   for (int times = 0; times < 2; ++times) {
     const auto asked = net::accept(healthy, net::Steady::now() + 15s);
     ASSERT_TRUE(asked) << "after " << times;
--- a/tests/program/files_test.cpp
+++ b/tests/program/files_test.cpp
@@ -11,7 +11,7 @@
 #include "files/receiver.h"
 #include "files/render.h"
 #include "program/support.h"
-#include "standin/tables.h"
+#include "fakes/tables.h"
 
 namespace ospreypost::files {
 namespace {
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-using test::Place;
+using test::RegisteredEndpoint;
 
 Generation generation(std::uint64_t version, std::vector<std::string> names = {"a", "b"},
                       std::uint64_t epoch = 1) {
@@ -35,7 +35,7 @@
 
 TEST(Generation, TravelsAndSaysWhatDoesNotFit) {
   const auto text = write_generation(generation(7));
-  EXPECT_EQ(read_generation(text).stamp, (Stamp{1, 7}));
+  EXPECT_EQ(read_generation(text).stamp, (GenerationId{1, 7}));
   const auto fault = [](const std::string& changed) {
     try {
       read_generation(changed);
@@ -57,17 +57,17 @@
 
 // At each single step of a push its process dies at once; a reader finds the old or the new generation,
 // whole, and the next push goes through.
-TEST(Folder, IsWholeAfterADeathAtAnyStep) {
+TEST(GenerationStore, IsWholeAfterADeathAtAnyStep) {
   int steps = 0;
   for (int dies_at = 0;; ++dies_at) {
-    Place place;
-    Folder(place.path, 3).take(generation(1));
-    Folder(place.path, 3).take(generation(2));
+    RegisteredEndpoint place;
+    GenerationStore(place.path, 3).take(generation(1));
+    GenerationStore(place.path, 3).take(generation(2));
     const pid_t child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
       int step = 0;
-      Folder folder(place.path, 3, [&](const char*) {
+      GenerationStore folder(place.path, 3, [&](const char*) {
         if (step++ == dies_at) ::_exit(9);
       });
       folder.take(generation(3));
@@ -78,7 +78,7 @@
     const auto found = read_current(place.path);
     ASSERT_TRUE(found);
     EXPECT_TRUE(found->stamp.version == 2 || found->stamp.version == 3) << dies_at;
-    Folder again(place.path, 3);
+    GenerationStore again(place.path, 3);
     again.take(generation(4));
     EXPECT_EQ(read_current(place.path)->stamp.version, 4U);
     EXPECT_LE(again.kept().size(), 3U);
@@ -89,14 +89,14 @@
 }
 
 // The same for file systems that fail: an error instead of a death, and the old generation stays.
-TEST(Folder, KeepsWhatItHasWhenTheFileSystemFails) {
-  Place place;
-  Folder(place.path, 3).take(generation(1));
+TEST(GenerationStore, KeepsWhatItHasWhenTheFileSystemFails) {
+  RegisteredEndpoint place;
+  GenerationStore(place.path, 3).take(generation(1));
   bool failed = true;
   for (int fails_at = 0; failed; ++fails_at) {
     int step = 0;
     failed = false;
-    Folder folder(place.path, 3, [&](const char* what) {
+    GenerationStore folder(place.path, 3, [&](const char* what) {
       if (step++ != fails_at) return;
       failed = true;
       throw net::Error(std::string("no space left: ") + what);
@@ -115,36 +115,36 @@
   }
 }
 
-TEST(Folder, TheLowerEpochLosesAndOldNewsIsRefused) {
-  Place place;
-  Folder folder(place.path, 3);
-  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), Taken::swapped);
-  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), Taken::same);
-  EXPECT_EQ(folder.take(generation(9, {"a"}, 1)), Taken::older);
-  EXPECT_EQ(folder.take(generation(4, {"a"}, 2)), Taken::older);
-  EXPECT_EQ(folder.take(generation(1, {"a"}, 3)), Taken::swapped);
-  EXPECT_EQ(folder.current()->stamp, (Stamp{3, 1}));
+TEST(GenerationStore, TheLowerEpochLosesAndOldNewsIsRefused) {
+  RegisteredEndpoint place;
+  GenerationStore folder(place.path, 3);
+  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::swapped);
+  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::same);
+  EXPECT_EQ(folder.take(generation(9, {"a"}, 1)), StoreResult::older);
+  EXPECT_EQ(folder.take(generation(4, {"a"}, 2)), StoreResult::older);
+  EXPECT_EQ(folder.take(generation(1, {"a"}, 3)), StoreResult::swapped);
+  EXPECT_EQ(folder.current()->stamp, (GenerationId{3, 1}));
 }
 
-TEST(Folder, OfOneEpochOnlyOneProcessOrders) {
-  Place place;
-  Folder folder(place.path, 3);
+TEST(GenerationStore, OfOneEpochOnlyOneProcessOrders) {
+  RegisteredEndpoint place;
+  GenerationStore folder(place.path, 3);
   folder.take(generation(5));
   auto other = generation(6);
   other.owner = "another";
-  EXPECT_EQ(folder.take(other), Taken::older);
+  EXPECT_EQ(folder.take(other), StoreResult::older);
   EXPECT_EQ(folder.newest_owned()->owner, "g1");
   // Not even by the stamp that lies there: what it says of its tables may be something else.
   other.stamp.version = 5;
-  EXPECT_EQ(folder.take(other), Taken::older);
+  EXPECT_EQ(folder.take(other), StoreResult::older);
   other.stamp.epoch = 2;
-  EXPECT_EQ(folder.take(other), Taken::swapped);
+  EXPECT_EQ(folder.take(other), StoreResult::swapped);
   EXPECT_EQ(folder.newest_owned()->owner, "another");
 }
 
-TEST(Folder, AWayBackBringsBackNobodyWhoIsOut) {
-  Place place;
-  Folder folder(place.path, 5);
+TEST(GenerationStore, AWayBackBringsBackNobodyWhoIsOut) {
+  RegisteredEndpoint place;
+  GenerationStore folder(place.path, 5);
   folder.take(generation(1, {"a", "b"}));
   folder.take(generation(2, {"a", "c"}));
   auto newest = generation(3, {"a"});
@@ -156,12 +156,12 @@
   folder.roll_back(2, {});
   EXPECT_EQ(folder.current()->stamp.version, 2U);
   // A repeat of the newest does not undo it, and what is out by the newest stays out.
-  EXPECT_EQ(folder.take(newest), Taken::older);
-  EXPECT_EQ(folder.take(newest, true), Taken::swapped);
+  EXPECT_EQ(folder.take(newest), StoreResult::older);
+  EXPECT_EQ(folder.take(newest, true), StoreResult::swapped);
   EXPECT_EQ(folder.current()->stamp.version, 3U);
   folder.roll_back(2, {});
   EXPECT_THROW(folder.roll_back(1, {}), net::Error);
-  EXPECT_EQ(folder.take(generation(4, {"a"})), Taken::swapped);
+  EXPECT_EQ(folder.take(generation(4, {"a"})), StoreResult::swapped);
   EXPECT_EQ(folder.current()->stamp.version, 4U);
 }
 
@@ -173,7 +173,7 @@
           {"u-3", "east", {"127.0.0.3", 9003}, 1e-9}};
 }
 
-std::map<std::string, int> weights_in(const standin::Resolved& table) {
+std::map<std::string, int> weights_in(const fakes::Resolved& table) {
   std::map<std::string, int> weights;
   for (const auto& target : table.targets) weights[target.name + "@" + target.address.text()] = target.weight;
   return weights;
@@ -183,9 +183,9 @@
   const std::map<std::string, int> expected{
       {"u-1@127.0.0.1:9001", 1000}, {"u-2@[::1]:9002", 200}, {"u-3@127.0.0.3:9003", 1}};
   const Terms terms{12, 0.75, "none"};
-  for (const auto& table : {standin::read_envoy(render_envoy("sign-job", endpoints(), terms)),
-                            standin::read_upstream(render_upstream("sign-job", endpoints(), terms))}) {
-    EXPECT_EQ(table.kind, standin::Resolved::Kind::answer);
+  for (const auto& table : {fakes::read_envoy(render_envoy("sign-job", endpoints(), terms)),
+                            fakes::read_upstream(render_upstream("sign-job", endpoints(), terms))}) {
+    EXPECT_EQ(table.kind, fakes::Resolved::Kind::answer);
     EXPECT_EQ(weights_in(table), expected);
     EXPECT_EQ(table.version, 12U);
     EXPECT_DOUBLE_EQ(table.level, 0.75);
@@ -201,19 +201,19 @@
 }
 
 TEST(Render, NobodyIsATableToo) {
-  EXPECT_TRUE(standin::read_envoy(render_envoy("x", {}, {})).targets.empty());
+  EXPECT_TRUE(fakes::read_envoy(render_envoy("x", {}, {})).targets.empty());
   const auto upstream = render_upstream("x", {}, {});
-  EXPECT_EQ(standin::read_upstream(upstream).kind, standin::Resolved::Kind::answer);
-  EXPECT_TRUE(standin::read_upstream(upstream).targets.empty());
+  EXPECT_EQ(fakes::read_upstream(upstream).kind, fakes::Resolved::Kind::answer);
+  EXPECT_TRUE(fakes::read_upstream(upstream).targets.empty());
   // nginx takes no upstream without a server.
   EXPECT_NE(upstream.find(" down;"), std::string::npos);
 }
 
 // --- The lease
 
-TEST(Shelf, OnlyWhoOrdersKeepsTheLease) {
-  Place place;
-  Shelf shelf(place.path.string(), 3, false);
+TEST(GenerationShelf, OnlyWhoOrdersKeepsTheLease) {
+  RegisteredEndpoint place;
+  GenerationShelf shelf(place.path.string(), 3, false);
   auto leased = generation(1);
   leased.lease_ms = 60;
   shelf.put(leased, false, net::Steady::now());
@@ -229,7 +229,7 @@
   };
   EXPECT_TRUE(stale_after([&] { shelf.renew(1, "another"); }));
   // Through a shelf of another process, too.
-  Shelf other(place.path.string(), 3, false);
+  GenerationShelf other(place.path.string(), 3, false);
   EXPECT_FALSE(other.state().stale);
   other.renew(1, "g1");
   EXPECT_FALSE(shelf.state().stale);
@@ -238,7 +238,7 @@
 // --- The receiver
 
 TEST(Receiver, AnswersByWhatBecameOfAPush) {
-  Place place;
+  RegisteredEndpoint place;
   Receiver receiver({{"127.0.0.1", 0}, place.path.string(), 3, true, 50ms});
   const auto send = [&](const std::string& method, const std::string& target, const std::string& body) {
     return http::fetch(receiver.address(), {method, target, "", "", body, true}, net::Steady::now() + 2s);
@@ -256,7 +256,7 @@
   EXPECT_EQ(send("POST", "/rollback?version=1", "{").status, 400U);
   EXPECT_EQ(send("PUT", "/generation?recall", "{").status, 400U);
   const auto state = read_state(send("GET", "/state", "").body);
-  EXPECT_EQ(state.applied, (Stamp{1, 1}));
+  EXPECT_EQ(state.applied, (GenerationId{1, 1}));
   EXPECT_EQ(state.kept.size(), 1U);
   fs::remove_all(place.path);
   std::ofstream(place.path) << "a file where the folder was";
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -65,7 +65,7 @@
     // Each byte comes well within the time of a whole message.
     for (int n = 0; n < 100; ++n) {
       net::write_fully(connection->socket(), std::string_view("E"), net::Steady::now() + 1s);
-      if (!net::is_quiet(connection->socket())) break;
+      if (!net::is_idle(connection->socket())) break;
       std::this_thread::sleep_for(20ms);
     }
   } catch (const net::Error&) {
@@ -91,7 +91,7 @@
 }
 
 // Found on a machine that ran out of threads: a crew that could not be completed waited for itself for ever.
-TEST(Crew, ThatCannotBeHadSaysSo) {
+TEST(ThreadPool, ThatCannotBeHadSaysSo) {
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
   GTEST_SKIP() << "sanitizers need the address space that is withheld here";
 #endif
@@ -102,7 +102,7 @@
     const rlimit some{std::size_t{1} << 30, std::size_t{1} << 30};
     ::setrlimit(RLIMIT_AS, &some);
     try {
-      net::Crew crew("many", 100, 1, std::size_t{64} << 20);
+      net::ThreadPool crew("many", 100, 1, std::size_t{64} << 20);
     } catch (const net::Error&) {
       ::_exit(0);
     }
--- a/tests/program/judge_test.cpp
+++ b/tests/program/invariant_checker_test.cpp
@@ -1,15 +1,15 @@
 // The judge must say so when a rule is broken: on made traces, and on real runs in which a guard was taken
 // out.
-#include "judge/judge.h"
+#include "checker/invariant_checker.h"
 
 #include <gtest/gtest.h>
 
 #include <fstream>
 #include <iostream>
 
-#include "day/run.h"
+#include "scenario/run.h"
 
-namespace ospreypost::judge {
+namespace ospreypost::checker {
 namespace {
 
 using namespace std::chrono_literals;
@@ -18,11 +18,11 @@
 Limits limits() {
   Limits limits;
   limits.drain_grace = 3s;
-  limits.bare_limit = 5s;
-  limits.fall_multiple = 2.5;
-  limits.fall_time = 3s;
-  limits.messages_allowed = 2;
-  limits.messages_window = 10s;
+  limits.max_time_without_endpoints = 5s;
+  limits.overload_multiple = 2.5;
+  limits.overload_duration = 3s;
+  limits.max_messages_per_window = 2;
+  limits.message_window = 10s;
   limits.most_waiting = 100;
   limits.classes["sign-job"] = {true, 1s, 2s, 4, 0.5};
   limits.vouched = {"p"};
@@ -33,7 +33,7 @@
 struct Quiet : Trace {
   Quiet() {
     add(Governing{0s, true});
-    add(Listed{0s, "r", Phase::ready});
+    add(Listed{0s, "r", EndpointPhase::ready});
     add(Started{0s, "r", 2, 1, 0s});
     add(Answered{1s, "p", "sign-job", 1, {"r"}, true});
     add(Sent{2s, "p", "r", 1});
@@ -63,7 +63,7 @@
   trace.add(Answered{20s, "p", "sign-job", 4, {}, true});
   EXPECT_EQ(broken(trace), "no proxy bare;");
   // Nobody is bare while nobody is there to be had.
-  trace.add(Listed{19s, "r", Phase::draining});
+  trace.add(Listed{19s, "r", EndpointPhase::draining});
   EXPECT_EQ(broken(trace), "");
 }
 
@@ -75,7 +75,7 @@
 
 TEST(Judge, SeesADrainThatWasNotKept) {
   Quiet trace;
-  trace.add(Listed{10s, "r", Phase::draining});
+  trace.add(Listed{10s, "r", EndpointPhase::draining});
   trace.add(Sent{12900ms, "p", "r", 2});
   EXPECT_EQ(broken(trace), "");
   trace.add(Sent{13100ms, "p", "r", 3});
@@ -94,7 +94,7 @@
 TEST(Judge, SeesAColdReplicaPushedOver) {
   Quiet trace;
   trace.add(Started{10s, "c", 2, 0.2, 10s});
-  trace.add(Listed{10100ms, "c", Phase::ready});
+  trace.add(Listed{10100ms, "c", EndpointPhase::ready});
   // It can do 0.4 to 0.9 seconds of work a second then.
   std::uint64_t id = 100;
   const auto send = [&](nanoseconds at) {
@@ -123,24 +123,24 @@
 const std::string kThreeRooms = R"(<replicas zone="klein-windhoek" count="2"/>
     <replicas zone="southern-ind" count="2"/><replicas zone="eros-park" count="2"/>)";
 
-day::Script script(const std::string& troubles, const std::string& fleet) {
+scenario::Scenario script(const std::string& troubles, const std::string& fleet) {
   const std::string text = R"(<day name="rigged" length="9 s" seed="5" governor="windhoek.xml">
     <fleet>)" + fleet + R"(</fleet>
     <traffic><class name="sign-job" rate="100" work="60 ms"/><class name="read-status" rate="20" work="60 ms"/></traffic>
     <troubles>)" + troubles +
                            "</troubles></day>";
-  return day::parse_script(text, "rigged", OSPREYPOST_EXAMPLES);
+  return scenario::parse_script(text, "rigged", OSPREYPOST_EXAMPLES);
 }
 
-std::string broken_in(const std::string& troubles, const standin::Sabotage& sabotage,
+std::string broken_in(const std::string& troubles, const fakes::InjectedDefects& sabotage,
                       std::function<std::string(std::string)> rig = {},
                       const std::string& fleet = kThreeRooms) {
-  day::PlayOptions options;
+  scenario::PlayOptions options;
   options.program = OSPREYPOST_PROGRAM_PATH;
   options.sabotage = sabotage;
   options.rig = std::move(rig);
   std::string names;
-  for (const auto& rule : day::play(script(troubles, fleet), options).verdict.rules) {
+  for (const auto& rule : scenario::play(script(troubles, fleet), options).verdict.rules) {
     names += rule.kept ? "" : rule.name + ";";
     std::cout << rule.name << ": " << rule.figures << '\n';
   }
@@ -165,7 +165,7 @@
 }
 
 TEST(RiggedRun, AProxyThatRepeatsAfterATimeOutRunsThingsTwice) {
-  standin::Sabotage sabotage;
+  fakes::InjectedDefects sabotage;
   sabotage.repeats_after_time_out = true;
   EXPECT_EQ(broken_in(R"(<slow at="2 s" for="5 s" factor="40" replicas="klein-windhoek-1 eros-park-1"/>)",
                       sabotage),
@@ -173,14 +173,14 @@
 }
 
 TEST(RiggedRun, AFrontThatKeepsADrainedLineBreaksTheDrain) {
-  standin::Sabotage sabotage;
+  fakes::InjectedDefects sabotage;
   sabotage.keeps_old_lines = true;
   EXPECT_EQ(broken_in(R"(<drain at="3 s" leaves="6 s" for="6 s" replicas="klein-windhoek-1"/>)", sabotage),
             "drains kept;");
 }
 
 TEST(RiggedRun, AProxyThatPrefersWhatIsNewPushesAColdReplicaOver) {
-  standin::Sabotage sabotage;
+  fakes::InjectedDefects sabotage;
   sabotage.prefers_new = true;
   // The governor holds back what is cold when tries fail around it; that guard is out as well.
   const auto rig = [](std::string text) {
@@ -192,7 +192,7 @@
 }
 
 TEST(RiggedRun, AGovernorThatCountsNoMessagesSendsTooMany) {
-  standin::Sabotage sabotage;
+  fakes::InjectedDefects sabotage;
   sabotage.asks_often = true;
   std::string troubles;
   for (int n = 0; n < 14; ++n) {
--- a/tests/program/intake_test.cpp
+++ b/tests/program/load_reports_test.cpp
@@ -1,5 +1,5 @@
 // Reports are told apart by their spans; rolls are taken whole or not at all.
-#include "intake/intake.h"
+#include "load_reports/load_report_processor.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -7,21 +7,21 @@
 
 #include <set>
 
-#include "list/roll.h"
+#include "discovery/endpoint_list.h"
 #include "program/support.h"
-#include "sources/roll_file.h"
+#include "discovery/endpoint_file_source.h"
 
 namespace ospreypost {
 namespace {
 
 using namespace std::chrono_literals;
-using intake::Judgement;
-using intake::Span;
+using load_reports::SpanVerdict;
+using load_reports::Span;
 
 // However spans overlap, repeat and come out of order: no moment is counted twice, and what touches nothing
 // that was counted counts.
-RC_GTEST_PROP(Spans, CountNoMomentTwice, ()) {
-  intake::Spans spans(30s);
+RC_GTEST_PROP(ReportSpans, CountNoMomentTwice, ()) {
+  load_reports::ReportSpans spans(30s);
   std::set<int> counted;  // tenths of a second
   for (int n = *rc::gen::inRange(1, 80); n > 0; --n) {
     const int start = *rc::gen::inRange(0, 150), length = *rc::gen::inRange(1, 30);
@@ -29,59 +29,59 @@
     bool overlaps = false;
     for (int at = start; at < start + length; ++at) overlaps = overlaps || counted.contains(at);
     const auto judged = spans.take(5020s, "replica a", span);
-    RC_ASSERT(judged == (overlaps ? Judgement::repeated : Judgement::counts));
+    RC_ASSERT(judged == (overlaps ? SpanVerdict::repeated : SpanVerdict::counts));
     for (int at = start; at < start + length && !overlaps; ++at) counted.insert(at);
   }
 }
 
-TEST(Spans, AreOfOneSubjectAndOfSoundLength) {
-  intake::Spans spans(30s);
-  EXPECT_EQ(spans.take(10s, "a", {1s, 2s}), Judgement::counts);
-  EXPECT_EQ(spans.take(10s, "b", {1s, 2s}), Judgement::counts);
-  EXPECT_EQ(spans.take(10s, "a", {2s, 2s}), Judgement::malformed);
-  EXPECT_EQ(spans.take(10s, "a", {2s, 60s}), Judgement::malformed);
+TEST(ReportSpans, AreOfOneSubjectAndOfSoundLength) {
+  load_reports::ReportSpans spans(30s);
+  EXPECT_EQ(spans.take(10s, "a", {1s, 2s}), SpanVerdict::counts);
+  EXPECT_EQ(spans.take(10s, "b", {1s, 2s}), SpanVerdict::counts);
+  EXPECT_EQ(spans.take(10s, "a", {2s, 2s}), SpanVerdict::malformed);
+  EXPECT_EQ(spans.take(10s, "a", {2s, 60s}), SpanVerdict::malformed);
 }
 
-TEST(Spans, TooOldIsRefusedUntilTheSendersClockIsSeenToHaveBeenSet) {
-  intake::Spans spans(30s);
-  EXPECT_EQ(spans.take(1000s, "a", {999s, 1000s}), Judgement::counts);
-  EXPECT_EQ(spans.take(1040s, "a", {1000s, 1001s}), Judgement::too_old);
+TEST(ReportSpans, TooOldIsRefusedUntilTheSendersClockIsSeenToHaveBeenSet) {
+  load_reports::ReportSpans spans(30s);
+  EXPECT_EQ(spans.take(1000s, "a", {999s, 1000s}), SpanVerdict::counts);
+  EXPECT_EQ(spans.take(1040s, "a", {1000s, 1001s}), SpanVerdict::too_old);
   // One late report repeated proves no new clock; a row of reports that go on does.
-  EXPECT_EQ(spans.take(1041s, "a", {1000s, 1001s}), Judgement::too_old);
-  EXPECT_EQ(spans.take(1042s, "a", {500s, 501s}), Judgement::too_old);
-  EXPECT_EQ(spans.take(1043s, "a", {501s, 502s}), Judgement::too_old);
-  EXPECT_EQ(spans.take(1044s, "a", {502s, 503s}), Judgement::counts);
-  EXPECT_EQ(spans.take(1045s, "a", {503s, 504s}), Judgement::counts);
+  EXPECT_EQ(spans.take(1041s, "a", {1000s, 1001s}), SpanVerdict::too_old);
+  EXPECT_EQ(spans.take(1042s, "a", {500s, 501s}), SpanVerdict::too_old);
+  EXPECT_EQ(spans.take(1043s, "a", {501s, 502s}), SpanVerdict::too_old);
+  EXPECT_EQ(spans.take(1044s, "a", {502s, 503s}), SpanVerdict::counts);
+  EXPECT_EQ(spans.take(1045s, "a", {503s, 504s}), SpanVerdict::counts);
 }
 
-struct Heard : intake::Receiver {
+struct Heard : load_reports::LoadReportListener {
   std::optional<ReplicaId> find_replica(std::string_view name) const override {
     if (name == "unit-1") return ReplicaId{4};
     return std::nullopt;
   }
-  void replica_summed(const ReplicaSum& sum, const record::Origin& origin) override {
+  void on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) override {
     sums.push_back(sum);
     origins.push_back(origin);
   }
-  void demand_summed(const Demand& demand, const record::Origin&) override { demands.push_back(demand); }
+  void on_demand_report(const DemandReport& demand, const record::Origin&) override { demands.push_back(demand); }
   void reported(ProxyId proxy) override { reporters.push_back(proxy); }
-  std::vector<ReplicaSum> sums;
+  std::vector<ReplicaLoadReport> sums;
   std::vector<record::Origin> origins;
-  std::vector<Demand> demands;
+  std::vector<DemandReport> demands;
   std::vector<ProxyId> reporters;
 };
 
-TEST(Intake, TakesAReportOnceAndMakesNobodyUp) {
+TEST(LoadReportProcessor, TakesAReportOnceAndMakesNobodyUp) {
   const auto config = test::small_config();
   Heard heard;
-  intake::Intake intake(config, heard);
-  otlp::Report report;
+  load_reports::LoadReportProcessor intake(config, heard);
+  load_reports::MetricsReport report;
   report.proxy = "forwarder-2";
   report.replicas.push_back({"unit-1", {100s, 101s}, 10, 4, 3.0, {{"util", 0.5}}});
   report.replicas.push_back({"unit-9", {100s, 101s}, 10, 4, 3.0, {}});
   report.classes.push_back({"sign-job", {100s, 101s}, 20, 2});
   report.classes.push_back({"dance", {100s, 101s}, 20, 2});
-  const auto parsed = otlp::parse_metrics(otlp::write_metrics(report));
+  const auto parsed = load_reports::parse_metrics(load_reports::write_metrics(report));
   const auto first = intake.take(101s, parsed);
   EXPECT_EQ(first.taken, 2U);
   EXPECT_EQ(first.unknown, 2U);
@@ -90,7 +90,7 @@
   EXPECT_EQ(heard.sums[0].replica, ReplicaId{4});
   EXPECT_EQ(heard.sums[0].zone, ZoneId{1});
   EXPECT_EQ(heard.sums[0].failed, 4U);
-  EXPECT_EQ(heard.sums[0].mean_time, 500ms);
+  EXPECT_EQ(heard.sums[0].mean_latency, 500ms);
   EXPECT_EQ(heard.sums[0].load, std::vector<float>{0.5F});
   ASSERT_EQ(heard.demands.size(), 1U);
   EXPECT_EQ(heard.demands[0].operations, 20U);
@@ -100,10 +100,10 @@
 }
 
 TEST(Otlp, RefusesWhatIsNoRequestAndLeavesForeignMetricsAlone) {
-  EXPECT_THROW(otlp::parse_metrics("{"), net::Error);
-  EXPECT_THROW(otlp::parse_metrics("[1]"), net::Error);
-  EXPECT_THROW(otlp::parse_metrics(R"({"resourceMetrics": 3})"), net::Error);
-  const auto reports = otlp::parse_metrics(R"({"resourceMetrics":[{"scopeMetrics":[{"metrics":[
+  EXPECT_THROW(load_reports::parse_metrics("{"), net::Error);
+  EXPECT_THROW(load_reports::parse_metrics("[1]"), net::Error);
+  EXPECT_THROW(load_reports::parse_metrics(R"({"resourceMetrics": 3})"), net::Error);
+  const auto reports = load_reports::parse_metrics(R"({"resourceMetrics":[{"scopeMetrics":[{"metrics":[
       {"name":"ospreypost.tries","sum":{"aggregationTemporality":2,"dataPoints":[{"asInt":"3"}]}},
       {"name":"cpu","gauge":{"dataPoints":[{"asDouble":0.5}]}}, 7]}]}]})");
   ASSERT_EQ(reports.size(), 1U);
@@ -114,37 +114,37 @@
 
 // --- The roll
 
-list::Backend backend(const std::string& name, std::optional<list::WallTime> started = std::nullopt) {
-  list::Backend made;
+discovery::Endpoint backend(const std::string& name, std::optional<discovery::WallTime> started = std::nullopt) {
+  discovery::Endpoint made;
   made.name = name;
   made.started = started;
   return made;
 }
 
-list::WallTime wall(Nanos at) { return list::WallTime(at); }
+discovery::WallTime wall(Nanos at) { return discovery::WallTime(at); }
 
-TEST(Roll, TellsWhatDiffers) {
-  list::Roll roll;
+TEST(EndpointList, TellsWhatDiffers) {
+  discovery::EndpointList roll;
   EXPECT_TRUE(roll.take(10s, wall(100s), {backend("b"), backend("a")}).first);
   auto draining = backend("a");
   draining.draining = true;
   const auto taken = roll.take(11s, wall(101s), {draining, backend("c")});
   ASSERT_EQ(taken.changes.size(), 3U);
-  EXPECT_EQ(taken.changes[0].phase, Phase::draining);
-  EXPECT_EQ(taken.changes[1].phase, Phase::gone);
-  EXPECT_EQ(taken.changes[2].phase, Phase::ready);
+  EXPECT_EQ(taken.changes[0].phase, EndpointPhase::draining);
+  EXPECT_EQ(taken.changes[1].phase, EndpointPhase::gone);
+  EXPECT_EQ(taken.changes[2].phase, EndpointPhase::ready);
 }
 
-TEST(Roll, WhatIsAbsurdLeavesTheLastGoodOneStanding) {
-  list::Roll roll;
+TEST(EndpointList, WhatIsAbsurdLeavesTheLastGoodOneStanding) {
+  discovery::EndpointList roll;
   roll.take(10s, wall(100s), {backend("a")});
   EXPECT_THROW(roll.take(11s, wall(101s), {}), net::Error);
   EXPECT_THROW(roll.take(12s, wall(102s), {backend("b"), backend("b")}), net::Error);
   EXPECT_TRUE(roll.take(13s, wall(103s), {backend("a")}).changes.empty());
 }
 
-TEST(Roll, AWallClockThatJumpsMakesNothingWarmThatIsCold) {
-  list::Roll roll;
+TEST(EndpointList, AWallClockThatJumpsMakesNothingWarmThatIsCold) {
+  discovery::EndpointList roll;
   roll.take(10s, wall(1000s), {backend("a", wall(400s))});
   // Restarted between two readings, and the clock jumped an hour ahead meanwhile.
   const auto taken = roll.take(12s, wall(4602s), {backend("a", wall(1001s))});
@@ -154,11 +154,11 @@
   EXPECT_EQ(roll.take(14s, wall(0s), {backend("a", wall(4610s))}).changes[0].started, Nanos(14s));
 }
 
-TEST(RollFile, NamesWhatIsWrong) {
+TEST(EndpointFileSource, NamesWhatIsWrong) {
   const auto config = test::small_config();
   const auto fault = [&](const std::string& entry) {
     try {
-      sources::parse_roll("{\"backends\":[" + entry + "]}", config);
+      discovery::parse_endpoint_file("{\"backends\":[" + entry + "]}", config);
     } catch (const net::Error& error) {
       return std::string(error.what());
     }
--- a/tests/program/platform_service_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -7,7 +7,7 @@
 #include <mutex>
 
 #include "http/http.h"
-#include "platform/service.h"
+#include "platform/platform_server.h"
 #include "program/platform_support.h"
 
 namespace ospreypost::platform {
@@ -21,7 +21,7 @@
 
 struct Platform : testing::Test {
   Discovery discovery;
-  Environment environment = parse_environment(test::platform_config(discovery.address()), "test");
+  PlatformConfig environment = parse_platform_config(test::platform_config(discovery.address()), "test");
   Service service{environment, std::make_shared<spdlog::logger>("test")};
   net::Address at = service.address();
 };
@@ -131,7 +131,7 @@
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=48");
 }
 
-TEST(Peers, HearPeersOnlyAndTellNoMoreThanADatagramHolds) {
+TEST(GossipChannel, HearPeersOnlyAndTellNoMoreThanADatagramHolds) {
   const net::Address any{"127.0.0.1", 0};
   const auto nobody = net::bind_udp(any);
   std::mutex lock;
@@ -142,12 +142,12 @@
     heard.push_back(std::to_string(static_cast<int>(peer)) + std::string(message));
     changed.notify_all();
   };
-  Peers first(any, {}, any, [](PeerId, std::string_view) {});
-  Peers second(any, {net::local_address(nobody), first.address()}, any, note);
-  Peers teller(any, {second.address()}, second.address(), [](PeerId, std::string_view) {});
-  EXPECT_FALSE(teller.tell(PeerId{0}, std::string(257, 'x')));
-  EXPECT_FALSE(teller.tell(PeerId{1}, "x")) << "nobody has that number";
-  EXPECT_TRUE(teller.tell(std::nullopt, "a stranger's"));
+  GossipChannel first(any, {}, any, [](PeerId, std::string_view) {});
+  GossipChannel second(any, {net::local_address(nobody), first.address()}, any, note);
+  GossipChannel teller(any, {second.address()}, second.address(), [](PeerId, std::string_view) {});
+  EXPECT_FALSE(teller.send_to_peer(PeerId{0}, std::string(257, 'x')));
+  EXPECT_FALSE(teller.send_to_peer(PeerId{1}, "x")) << "nobody has that number";
+  EXPECT_TRUE(teller.send_to_peer(std::nullopt, "a stranger's"));
   const std::string_view words = "a peer's";
   net::send_to(nobody, {reinterpret_cast<const std::uint8_t*>(words.data()), words.size()}, second.address());
   std::unique_lock held(lock);
@@ -155,13 +155,13 @@
   EXPECT_EQ(heard, Words{"0a peer's"});
 }
 
-TEST(Registry, ASilentOneIsDialledAgain) {
-  struct Sink : sources::RegistrySink {
-    void roster_received(const sources::Roster&) override {}
-    void registry_silent(const std::string&) override {}
+TEST(DiscoveryWatcher, ASilentOneIsDialledAgain) {
+  struct Sink : discovery::EndpointListHandler {
+    void on_endpoint_list_update(const discovery::EndpointListUpdate&) override {}
+    void on_discovery_silent(const std::string&) override {}
   } sink;
   Discovery discovery;
-  sources::Registry registry(net::Address::parse(discovery.address()), 5, sink, {1s, 50ms});
+  discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, sink, {1s, 50ms});
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=5");
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=5") << "nothing came on the first";
 }
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -3,12 +3,12 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "book/order_book.h"
+#include "routing_state/routing_state.h"
 #include "config/xml.h"
-#include "platform/channel.h"
-#include "platform/environment.h"
+#include "platform/table_update_encoder.h"
+#include "platform/platform_config.h"
 #include "platform/messages.h"
-#include "platform/places.h"
+#include "platform/endpoint_registry.h"
 #include "program/platform_support.h"
 
 namespace ospreypost::platform {
@@ -91,7 +91,7 @@
     at += piece;
     try {
       while (const auto words = reader.next()) messages.emplace_back(words->begin(), words->end());
-    } catch (const resp::Malformed&) {
+    } catch (const resp::ProtocolError&) {
       malformed = true;
     }
   }
@@ -102,32 +102,32 @@
 TEST(Resp, RefusesALengthBeforeItsBytesCome) {
   resp::Reader reader({1000, 8});
   reader.put("*1\r\n$99999999\r\n");
-  EXPECT_THROW(reader.next(), resp::Malformed);
+  EXPECT_THROW(reader.next(), resp::ProtocolError);
   resp::Reader web;
   web.put("GET / HTTP/1.1\r\n");
-  EXPECT_THROW(web.next(), resp::Malformed);
+  EXPECT_THROW(web.next(), resp::ProtocolError);
   resp::Reader endless;
   endless.put("*1111111111111");
-  EXPECT_THROW(endless.next(), resp::Malformed);
+  EXPECT_THROW(endless.next(), resp::ProtocolError);
 }
 
 // --- Messages
 
-struct Heard : Told {
+struct Heard : MessageHandler {
   std::string all;
-  ReplicaSum sum;
-  Demand demand;
+  ReplicaLoadReport sum;
+  DemandReport demand;
   Nanos took{};
-  void asked_for_life() override { all += "life "; }
-  void proxy_said_hello(ProxyId, ZoneId, double, bool) override { all += "hello "; }
-  void collector_said_hello(ZoneId) override { all += "agent "; }
-  void replica_summed(const ReplicaSum& told) override { all += "sum ", sum = told; }
-  void demand_summed(ProxyId, const Demand& told) override { all += "demand ", demand = told; }
-  void mark_answered(ProxyId, std::uint64_t, Nanos told) override { all += "mark ", took = told; }
+  void on_liveness_request() override { all += "life "; }
+  void on_proxy_hello(ProxyId, ZoneId, double, bool) override { all += "hello "; }
+  void on_collector_hello(ZoneId) override { all += "agent "; }
+  void on_replica_load_report(const ReplicaLoadReport& told) override { all += "sum ", sum = told; }
+  void on_demand_report(ProxyId, const DemandReport& told) override { all += "demand ", demand = told; }
+  void on_acknowledgement(ProxyId, std::uint64_t, Nanos told) override { all += "mark ", took = told; }
 };
 
-Vocabulary vocabulary() {
-  Vocabulary known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
+MessageNames vocabulary() {
+  MessageNames known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
   known.replica_of = [](std::string_view name) {
     return name == "s-1" ? std::optional(ReplicaId{7}) : std::nullopt;
   };
@@ -135,7 +135,7 @@
 }
 
 // What was told, or "spoilt".
-std::string told(const std::string& line, Party from, Heard& heard) {
+std::string told(const std::string& line, PeerRole from, Heard& heard) {
   Words words;
   for (std::size_t at = 0; at <= line.size();) {
     const auto end = std::min(line.find(' ', at), line.size());
@@ -143,14 +143,14 @@
     at = end + 1;
   }
   try {
-    read_message({words.begin(), words.end()}, vocabulary(), from,
-                 from == Party::proxy ? std::optional(ProxyId{3}) : std::nullopt, heard);
-  } catch (const Spoilt&) {
+    parse_message({words.begin(), words.end()}, vocabulary(), from,
+                 from == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt, heard);
+  } catch (const MessageError&) {
     return heard.all.empty() ? "spoilt" : "spoilt, but told";
   }
   return heard.all;
 }
-std::string told(const std::string& line, Party from) {
+std::string told(const std::string& line, PeerRole from) {
   Heard heard;
   return told(line, from, heard);
 }
@@ -159,21 +159,21 @@
   Heard heard;
   EXPECT_EQ(
       told("outcomes site west target s-1 count 9 fail 2 mean 41.5 over 1000.0 util util:0.5,inflight:7",
-           Party::collector, heard),
+           PeerRole::collector, heard),
       "sum ");
   EXPECT_EQ(heard.sum.replica, ReplicaId{7});
   EXPECT_EQ(heard.sum.zone, ZoneId{1});
-  EXPECT_EQ(heard.sum.mean_time, 41500us);
+  EXPECT_EQ(heard.sum.mean_latency, 41500us);
   EXPECT_EQ(heard.sum.span, 1s);
   EXPECT_EQ(heard.sum.load, (std::vector<float>{7, 0.5}));
-  EXPECT_EQ(told("outcomes site east target s-1 count 3 fail 3 over 1000", Party::proxy), "sum ");
+  EXPECT_EQ(told("outcomes site east target s-1 count 3 fail 3 over 1000", PeerRole::proxy), "sum ");
   // Failures are counted when they end, arrivals when they come.
-  EXPECT_EQ(told("demand id 3 lane sign count 1 fail 4 over 900", Party::proxy, heard), "sum demand ");
+  EXPECT_EQ(told("demand id 3 lane sign count 1 fail 4 over 900", PeerRole::proxy, heard), "sum demand ");
   EXPECT_EQ(heard.demand.cls, ClassId{1});
-  EXPECT_EQ(told("ack id 3 seq 905 ms 310.4", Party::proxy), "mark ");
-  EXPECT_EQ(told("hello id 9 site east rps 0 new 0", Party::stranger), "hello ");
-  EXPECT_EQ(told("agent site east", Party::stranger), "agent ");
-  EXPECT_EQ(told("probe", Party::stranger), "life ");
+  EXPECT_EQ(told("ack id 3 seq 905 ms 310.4", PeerRole::proxy), "mark ");
+  EXPECT_EQ(told("hello id 9 site east rps 0 new 0", PeerRole::stranger), "hello ");
+  EXPECT_EQ(told("agent site east", PeerRole::stranger), "agent ");
+  EXPECT_EQ(told("probe", PeerRole::stranger), "life ");
 }
 
 TEST(Messages, SpoiltOnesAreRefusedWhole) {
@@ -182,74 +182,74 @@
     const auto at = sum.find(" " + field + " ");
     const auto value = at + field.size() + 2;
     const auto end = std::min(sum.find(' ', value), sum.size());
-    EXPECT_EQ(told(sum.substr(0, at) + sum.substr(end), Party::proxy), "spoilt") << "without " << field;
+    EXPECT_EQ(told(sum.substr(0, at) + sum.substr(end), PeerRole::proxy), "spoilt") << "without " << field;
     for (const char* wrong : {"", "nan", "inf", "-1", "1e99", "x", "99999999999999999999", "7seven"}) {
-      EXPECT_EQ(told(sum.substr(0, value) + wrong + sum.substr(end), Party::proxy), "spoilt")
+      EXPECT_EQ(told(sum.substr(0, value) + wrong + sum.substr(end), PeerRole::proxy), "spoilt")
           << field << " is '" << wrong << "'";
     }
   }
   for (const char* wrong : {"util:", "util:nan", "util:-1", "util:99,inflight:1", "util:0.5", "speed:1", "7",
                             "inflight:1,util:x", "inflight:-1,util:0.5"}) {
-    EXPECT_EQ(told(sum + " util " + wrong, Party::proxy), "spoilt") << wrong;
+    EXPECT_EQ(told(sum + " util " + wrong, PeerRole::proxy), "spoilt") << wrong;
   }
-  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 10 mean 41 over 1000", Party::proxy), "spoilt");
-  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 2 mean 41 over 0", Party::proxy), "spoilt");
-  EXPECT_EQ(told(sum + " over 1000", Party::proxy), "spoilt") << "a field twice";
-  EXPECT_EQ(told(sum + " over", Party::proxy), "spoilt") << "a field without a value";
+  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 10 mean 41 over 1000", PeerRole::proxy), "spoilt");
+  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 2 mean 41 over 0", PeerRole::proxy), "spoilt");
+  EXPECT_EQ(told(sum + " over 1000", PeerRole::proxy), "spoilt") << "a field twice";
+  EXPECT_EQ(told(sum + " over", PeerRole::proxy), "spoilt") << "a field without a value";
   for (const char* line :
        {"demand id 3 lane dance count 1 fail 0 over 900", "demand id 4 lane sign count 1 fail 0 over 9",
         "demand id 3 lane sign count 1.5 fail 0 over 900", "ack id 3 seq x ms 1", "ack id 3 seq 1",
         "ack id 3 seq 1 ms -1", "hello id 4 site east rps 1 new 1", "push full 1", "agent site east",
         "dance"}) {
-    EXPECT_EQ(told(line, Party::proxy), "spoilt") << line;
+    EXPECT_EQ(told(line, PeerRole::proxy), "spoilt") << line;
   }
   for (const char* line : {"hello id 10 site east rps 1 new 1", "hello id 3 site north rps 1 new 1",
                            "hello id 3 site east rps 1 new 2", "agent site north", "ack id 3 seq 1 ms 1",
                            "demand id 3 lane sign count 1 fail 0 over 900", "push full 1"}) {
-    EXPECT_EQ(told(line, Party::stranger), "spoilt") << line;
+    EXPECT_EQ(told(line, PeerRole::stranger), "spoilt") << line;
   }
-  EXPECT_EQ(told("ack id 3 seq 1 ms 1", Party::collector), "spoilt");
+  EXPECT_EQ(told("ack id 3 seq 1 ms 1", PeerRole::collector), "spoilt");
 }
 
 TEST(Messages, ALoadReportIsReadByItsColumns) {
   EXPECT_EQ(read_report("TEXT inflight=7, util=0.61\n", {"inflight", "util"}),
             (std::vector<float>{7, 0.61f}));
   EXPECT_TRUE(read_report("", {"util"}).empty());
-  EXPECT_THROW(read_report("TEXT util=high", {"util"}), Spoilt);
+  EXPECT_THROW(read_report("TEXT util=high", {"util"}), MessageError);
 }
 
 // --- Places
 
-TEST(Places, NumbersAreGivenOnceAndStartsAreOneStart) {
-  Places places({"east"}, {"new"}, -100s);
-  const auto first = places.take(sources::parse_roster(test::roster(
+TEST(EndpointRegistry, NumbersAreGivenOnceAndStartsAreOneStart) {
+  EndpointRegistry places({"east"}, {"new"}, -100s);
+  const auto first = places.take(discovery::parse_endpoint_list_update(test::roster(
       1, true, test::member("a") + "," + test::member("b", "SERVING", "127.0.0.1:9", "150000"))));
   ASSERT_EQ(first.entries.size(), 2u);
   EXPECT_EQ(first.entries[1].started, 50s);
   const auto a = *places.find("a"), b = *places.find("b");
   // Whoever a whole list leaves out is gone, and no later one gets its number.
   const auto second =
-      places.take(sources::parse_roster(test::roster(2, true, test::member("b", "DRAINING"))));
+      places.take(discovery::parse_endpoint_list_update(test::roster(2, true, test::member("b", "DRAINING"))));
   EXPECT_EQ(second.out.size(), 2u);
   EXPECT_EQ(places.gone(), std::vector<ReplicaId>{a});
   places.let_go(a);
   EXPECT_EQ(places.size(), 1u);
   EXPECT_EQ(places.place(a), nullptr);
-  places.take(sources::parse_roster(test::roster(3, false, test::member("a"))));
+  places.take(discovery::parse_endpoint_list_update(test::roster(3, false, test::member("a"))));
   EXPECT_NE(*places.find("a"), a);
   EXPECT_EQ(*places.find("b"), b);
   // Of a zone that the settings don't have, nothing can be said.
-  const auto odd = places.take(sources::parse_roster(
+  const auto odd = places.take(discovery::parse_endpoint_list_update(
       R"({"revision":4,"complete":false,"members":[{"id":"c","host_port":"127.0.0.1:9","locality":"moon","flavor":"new","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]})"));
   EXPECT_EQ(odd.refused, 1u);
   EXPECT_FALSE(places.find("c"));
 }
 
-TEST(Places, AListThatCannotBeReadIsNone) {
+TEST(EndpointRegistry, AListThatCannotBeReadIsNone) {
   for (const std::string text : {"", "[]", "{", R"({"revision":-1,"complete":true,"members":[]})",
                                  R"({"revision":1,"members":[]})", R"({"revision":1,"complete":true})"})
-    EXPECT_THROW(sources::parse_roster(text), net::Error) << text;
-  const auto some = sources::parse_roster(
+    EXPECT_THROW(discovery::parse_endpoint_list_update(text), net::Error) << text;
+  const auto some = discovery::parse_endpoint_list_update(
       test::roster(1, true,
                    test::member("a") + R"(,{"id":7},)" + test::member("b", "DANCING") + "," +
                        test::member("a") + "," + test::member("c", "SERVING", "nowhere")));
@@ -305,16 +305,16 @@
   }
 };
 
-RC_GTEST_PROP(Channel, AProxyHoldsWhatTheBookSaysWhateverCameBefore, ()) {
+RC_GTEST_PROP(TableUpdateEncoder, AProxyHoldsWhatTheBookSaysWhateverCameBefore, ()) {
   constexpr std::size_t proxies = 3, replicas = 5;
   const auto name_of = [](ReplicaId id) {
     static const Words names{"s-0", "s-1", "s-2", "s-3", "s-4"};
     return std::string_view(names.at(static_cast<std::size_t>(id)));
   };
-  book::OrderBook book(2);
-  Channel channel({"read", "sign"}, Retry::after_proof);
+  routing_state::RoutingState book(2);
+  TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   std::map<std::size_t, PlainProxy> joined;
-  std::map<ProxyId, std::shared_ptr<const book::Holding>> holdings;
+  std::map<ProxyId, std::shared_ptr<const routing_state::ProxySnapshot>> holdings;
   for (int step = *rc::gen::inRange(1, 60); step > 0; --step) {
     const auto p = *rc::gen::inRange<std::size_t>(0, proxies);
     const ProxyId proxy{static_cast<std::uint16_t>(p)};
@@ -339,15 +339,15 @@
         book.bind(proxy, table, classes);
         break;
       case 3:
-        book.withdraw(replica, *rc::gen::arbitrary<bool>());
+        book.set_ejected(replica, *rc::gen::arbitrary<bool>());
         break;
       case 4:
-        book.set_level(*rc::gen::arbitrary<bool>() ? kEveryTable : table, classes,
+        book.set_admitted_fraction(*rc::gen::arbitrary<bool>() ? kAllTables : table, classes,
                        *rc::gen::element(0.0, 0.25, 1.0),
-                       *rc::gen::element(Retry::none, Retry::after_proof, Retry::twice));
+                       *rc::gen::element(RetryMode::none, RetryMode::after_rejection_proof, RetryMode::twice));
         break;
       default:
-        book.set_line(table, replica, *rc::gen::element(0.0, 0.5, 1.0, 2.25));
+        book.set_table_entry(table, replica, *rc::gen::element(0.0, 0.5, 1.0, 2.25));
     }
     if (*rc::gen::inRange(0, 3) > 0) continue;  // several calls, one message
     if (const auto published = book.publish(Nanos{})) {
@@ -382,41 +382,41 @@
   }
 }
 
-TEST(Channel, TwoMarksOfOneMessageAreBothAnswered) {
-  Channel channel({"read", "sign"}, Retry::after_proof);
+TEST(TableUpdateEncoder, TwoMarksOfOneMessageAreBothAnswered) {
+  TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const ProxyId proxy{1};
   channel.joined(proxy);
-  channel.marked(proxy, MarkId{4}, true);
-  channel.marked(proxy, MarkId{9}, true);
+  channel.marked(proxy, AckRequestId{4}, true);
+  channel.marked(proxy, AckRequestId{9}, true);
   PlainProxy plain;
   plain.apply(channel.next(proxy, [](ReplicaId) { return std::string_view("s"); }).bytes);
   EXPECT_TRUE(channel.answered(proxy, 77).empty()) << "an answer to what was never asked";
-  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), (std::vector<MarkId>{MarkId{4}, MarkId{9}}));
+  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), (std::vector<AckRequestId>{AckRequestId{4}, AckRequestId{9}}));
   EXPECT_TRUE(channel.answered(proxy, std::stoul(plain.nonce)).empty());
 }
 
-TEST(Channel, AMarkThatGoesWithOrdersMakesNoMessageOfItsOwn) {
-  Channel channel({"read", "sign"}, Retry::after_proof);
+TEST(TableUpdateEncoder, AMarkThatGoesWithOrdersMakesNoMessageOfItsOwn) {
+  TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const ProxyId proxy{1};
   const auto name = [](ReplicaId) { return std::string_view("s"); };
   channel.joined(proxy);
-  channel.marked(proxy, MarkId{4}, false);
+  channel.marked(proxy, AckRequestId{4}, false);
   EXPECT_TRUE(channel.next(proxy, name).bytes.empty()) << "each message counts against its limit";
   channel.out({ReplicaId{2}});
-  channel.marked(proxy, MarkId{5}, false);
+  channel.marked(proxy, AckRequestId{5}, false);
   PlainProxy plain;
   plain.apply(channel.next(proxy, name).bytes);
-  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), std::vector<MarkId>{MarkId{5}});
+  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), std::vector<AckRequestId>{AckRequestId{5}});
 }
 
-TEST(Channel, WhatNobodyHoldsIsFound) {
+TEST(TableUpdateEncoder, WhatNobodyHoldsIsFound) {
   const auto name = [](ReplicaId) { return std::string_view("s"); };
-  book::OrderBook book(2);
-  Channel channel({"read", "sign"}, Retry::after_proof);
+  routing_state::RoutingState book(2);
+  TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const std::vector<ReplicaId> both{ReplicaId{1}, ReplicaId{2}};
   EXPECT_EQ(channel.unheld(both), both);
   const auto order = [&](ReplicaId replica, double weight) {
-    book.set_line(TableId{0}, replica, weight);
+    book.set_table_entry(TableId{0}, replica, weight);
     channel.ordered(ProxyId{1}, book.publish(Nanos{})->version->holding_of(ProxyId{1}));
   };
   book.joined(ProxyId{1});
@@ -433,8 +433,8 @@
   EXPECT_EQ(channel.unheld(both), std::vector<ReplicaId>{ReplicaId{1}});
 }
 
-TEST(Channel, WhatIsOutLeavesTheLinesOfThoseWhoWaitForATable) {
-  Channel channel({"read", "sign"}, Retry::after_proof);
+TEST(TableUpdateEncoder, WhatIsOutLeavesTheLinesOfThoseWhoWaitForATable) {
+  TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   channel.joined(ProxyId{1});
   channel.out({ReplicaId{2}});
   PlainProxy plain;
@@ -448,20 +448,20 @@
 
 // --- The configuration
 
-TEST(Environment, IsReadWithTheSettingsOfTheSimulatorsWire) {
-  const auto read = parse_environment(test::platform_config(), "c.json");
+TEST(PlatformConfig, IsReadWithTheSettingsOfTheSimulatorsWire) {
+  const auto read = parse_platform_config(test::platform_config(), "c.json");
   EXPECT_EQ(read.name, "n0");
   EXPECT_EQ(read.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(read.classes, (Words{"read", "sign"}));
-  EXPECT_EQ(read.settings.classes[1].effect, Effect::at_most_once);
-  EXPECT_EQ(read.settings.classes[1].abandon_time, 2s);
+  EXPECT_EQ(read.settings.classes[1].effect, Idempotency::at_most_once);
+  EXPECT_EQ(read.settings.classes[1].request_deadline, 2s);
   EXPECT_EQ(read.settings.drain_grace, 3s);
   EXPECT_EQ(read.settings.zones, 2u);
-  EXPECT_EQ(read.settings.messages_allowed, 12u);
-  EXPECT_EQ(read.settings.load_columns, std::vector<LoadColumn>{LoadColumn::util});
+  EXPECT_EQ(read.settings.max_messages_per_window, 12u);
+  EXPECT_EQ(read.settings.load_columns, std::vector<LoadMetric>{LoadMetric::util});
 }
 
-TEST(Environment, AFaultNamesFileAndField) {
+TEST(PlatformConfig, AFaultNamesFileAndField) {
   const auto sound = test::platform_config();
   const std::vector<std::pair<std::string, std::string>> faults{
       {"\"listen\"", "listen"},      {"\"discovery\"", "discovery"},
@@ -474,16 +474,16 @@
     auto text = sound;
     text.replace(text.find(key), key.size(), "\"x\"");
     try {
-      parse_environment(text, "c.json");
+      parse_platform_config(text, "c.json");
       ADD_FAILURE() << "without " << key;
-    } catch (const config::Faulty& fault) {
+    } catch (const config::ConfigError& fault) {
       EXPECT_EQ(std::string(fault.what()).substr(0, 7), "c.json:");
       EXPECT_NE(std::string(fault.what()).find(named), std::string::npos) << fault.what();
       EXPECT_EQ(std::string(fault.what()).find('\n'), std::string::npos);
     }
   }
-  EXPECT_THROW(parse_environment("{", "c.json"), config::Faulty);
-  EXPECT_THROW(read_environment("/nonexistent"), config::Faulty);
+  EXPECT_THROW(parse_platform_config("{", "c.json"), config::ConfigError);
+  EXPECT_THROW(read_platform_config("/nonexistent"), config::ConfigError);
 }
 
 }  // namespace
--- a/tests/program/pushes_test.cpp
+++ b/tests/program/push_delivery_test.cpp
@@ -1,5 +1,5 @@
 // When proxies that are pushed to are sent what, and which of several governors orders them.
-#include "book/pushes.h"
+#include "routing_state/push_scheduler.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -11,9 +11,9 @@
 #include <memory>
 #include <set>
 
-#include "book/claims.h"
+#include "routing_state/lease_table.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 namespace {
 
 using namespace std::chrono_literals;
@@ -22,30 +22,30 @@
 // Signs of life more often than tokens come.
 constexpr PushLimits kLively{2, 1000, 12, 10s, 2500ms, 250ms};
 
-std::shared_ptr<const Holding> holding_of(std::uint64_t since,
+std::shared_ptr<const ProxySnapshot> holding_of(std::uint64_t since,
                                           std::initializer_list<std::uint32_t> replicas) {
-  auto view = std::make_shared<View>();
+  auto view = std::make_shared<RoutingTable>();
   for (const auto id : replicas) view->lines.push_back({ReplicaId{id}, 1.0});
-  auto holding = std::make_shared<Holding>();
-  holding->since = VersionNumber{since};
+  auto holding = std::make_shared<ProxySnapshot>();
+  holding->since = SnapshotVersion{since};
   holding->views = {view};
   return holding;
 }
 
 struct PushScene {
-  Pushes pushes{kLimits};
+  PushScheduler pushes{kLimits};
   ProxyId proxy{1};
   PushScene() {
     pushes.introduce(0s, proxy);
     EXPECT_FALSE(pushes.next(0s)->holding);
     pushes.joined(0s, proxy, true);
     pushes.ordered(0s, proxy, holding_of(1, {1, 2}), 3);
-    EXPECT_EQ(pushes.next(0s)->holding->since, VersionNumber{1});
-    pushes.taken(10ms, proxy, VersionNumber{1});
+    EXPECT_EQ(pushes.next(0s)->holding->since, SnapshotVersion{1});
+    pushes.taken(10ms, proxy, SnapshotVersion{1});
   }
 };
 
-TEST(Pushes, WithdrawalsGoFirstAndArePressedOnWith) {
+TEST(PushScheduler, WithdrawalsGoFirstAndArePressedOnWith) {
   PushScene scene;
   auto& pushes = scene.pushes;
   pushes.introduce(0s, ProxyId{0});
@@ -58,13 +58,13 @@
   EXPECT_FALSE(pushes.next(1102ms));
   EXPECT_EQ(pushes.next(1200ms)->proxy, scene.proxy);
   // A confirmation of something older is none.
-  pushes.taken(1300ms, scene.proxy, VersionNumber{1});
-  EXPECT_EQ(pushes.next(1301ms)->holding->since, VersionNumber{2});
-  pushes.taken(1400ms, scene.proxy, VersionNumber{2});
+  pushes.taken(1300ms, scene.proxy, SnapshotVersion{1});
+  EXPECT_EQ(pushes.next(1301ms)->holding->since, SnapshotVersion{2});
+  pushes.taken(1400ms, scene.proxy, SnapshotVersion{2});
   EXPECT_TRUE(pushes.lost(3600ms).empty());
 }
 
-TEST(Pushes, WhoCannotConfirmAWithdrawalIsGivenUpOn) {
+TEST(PushScheduler, WhoCannotConfirmAWithdrawalIsGivenUpOn) {
   PushScene scene;
   scene.pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
   Nanos now = 1s;
@@ -81,7 +81,7 @@
 }
 
 // Its lease runs while a change waits for the channel or for a token.
-TEST(Pushes, GoOnGivingSignsOfLifeToWhoWaits) {
+TEST(PushScheduler, GoOnGivingSignsOfLifeToWhoWaits) {
   PushScene scene;
   std::uint64_t version = 1;
   Nanos now = 10ms, spoke = now;
@@ -91,31 +91,31 @@
       scene.pushes.ordered(now, scene.proxy, holding_of(version, {1, 2, 3 + (version % 2 ? 1U : 0U)}), 1);
     }
     if (const auto offer = scene.pushes.next(now)) {
-      scene.pushes.taken(now, scene.proxy, offer->holding ? offer->holding->since : VersionNumber{});
+      scene.pushes.taken(now, scene.proxy, offer->holding ? offer->holding->since : SnapshotVersion{});
       spoke = now;
     }
     EXPECT_LE(now - spoke, kLimits.renew);
   }
 }
 
-TEST(Pushes, WhoseTablesAreGoneGetsThemAgain) {
+TEST(PushScheduler, WhoseTablesAreGoneGetsThemAgain) {
   PushScene scene;
   auto& pushes = scene.pushes;
   EXPECT_FALSE(pushes.next(2s)->holding);
-  EXPECT_FALSE(pushes.met(2s, scene.proxy, VersionNumber{1}));
+  EXPECT_FALSE(pushes.met(2s, scene.proxy, SnapshotVersion{1}));
   EXPECT_FALSE(pushes.next(4s)->holding);
   EXPECT_TRUE(pushes.met(4s, scene.proxy, std::nullopt));
   pushes.ordered(4s, scene.proxy, holding_of(1, {1, 2}), 3);
-  EXPECT_EQ(pushes.next(4s)->holding->since, VersionNumber{1});
+  EXPECT_EQ(pushes.next(4s)->holding->since, SnapshotVersion{1});
 }
 
 // A way back by hand stands, until it would send to somebody who is out since.
-TEST(Pushes, AWayBackIsRecalledWhenItNamesWhoIsOut) {
+TEST(PushScheduler, AWayBackIsRecalledWhenItNamesWhoIsOut) {
   PushScene scene;
   auto& pushes = scene.pushes;
   pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
   pushes.next(1s);
-  pushes.taken(1s, scene.proxy, VersionNumber{2});
+  pushes.taken(1s, scene.proxy, SnapshotVersion{2});
   pushes.out(1500ms, {ReplicaId{3}});
   pushes.went_back(1500ms, scene.proxy, {ReplicaId{1}, ReplicaId{2}});
   EXPECT_FALSE(pushes.next(1900ms));
@@ -124,14 +124,14 @@
   const auto offer = pushes.next(2100ms);
   ASSERT_TRUE(offer && offer->holding);
   EXPECT_TRUE(offer->recall);
-  EXPECT_EQ(offer->holding->since, VersionNumber{2});
+  EXPECT_EQ(offer->holding->since, SnapshotVersion{2});
   pushes.failed(2200ms, scene.proxy);
   EXPECT_EQ(pushes.lost(4700ms), std::vector{scene.proxy});
 }
 
 // It came with a table of unknown make, and waits for a token: signs of life meanwhile do not put that off.
-TEST(Pushes, WhoWaitsForTheFirstTokenGetsIt) {
-  Pushes pushes(kLively);
+TEST(PushScheduler, WhoWaitsForTheFirstTokenGetsIt) {
+  PushScheduler pushes(kLively);
   const ProxyId proxy{1};
   pushes.introduce(0s, proxy);
   pushes.next(0s);
@@ -142,20 +142,20 @@
     const auto offer = pushes.next(now);
     if (!offer) continue;
     if (offer->holding) break;
-    pushes.met(now, proxy, VersionNumber{4});
+    pushes.met(now, proxy, SnapshotVersion{4});
   }
   EXPECT_LT(now, 1200ms);
   EXPECT_GT(now, 500ms);
 }
 
 // Governors that die and start again each second know nothing of each other's messages.
-TEST(Pushes, ManyLivesTogetherKeepTheMessages) {
+TEST(PushScheduler, ManyLivesTogetherKeepTheMessages) {
   const ProxyId proxy{1};
   std::deque<Nanos> messages;
   std::uint64_t version = 0;
   Nanos now = 0s;
   for (int life = 0; life < 30; ++life) {
-    Pushes pushes(kLimits);
+    PushScheduler pushes(kLimits);
     pushes.introduce(now, proxy);
     pushes.next(now);
     pushes.joined(now, proxy, life == 0);
@@ -166,15 +166,15 @@
       const auto offer = pushes.next(now);
       if (!offer) continue;
       if (offer->holding) messages.push_back(now);
-      pushes.taken(now, proxy, offer->holding ? offer->holding->since : VersionNumber{});
+      pushes.taken(now, proxy, offer->holding ? offer->holding->since : SnapshotVersion{});
       while (!messages.empty() && messages.front() <= now - 10s) messages.pop_front();
-      EXPECT_LE(messages.size(), kLimits.messages_allowed);
+      EXPECT_LE(messages.size(), kLimits.max_messages_per_window);
     }
   }
   EXPECT_GT(messages.size(), 3U);
 }
 
-TEST(Pushes, WhoFollowsAnotherIsGivenUpAtOnce) {
+TEST(PushScheduler, WhoFollowsAnotherIsGivenUpAtOnce) {
   PushScene scene;
   scene.pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
   scene.pushes.next(1s);
@@ -188,12 +188,12 @@
 
 // A slow proxy holds up nobody; no window holds too many messages to any; what is confirmed last is what
 // stands.
-RC_GTEST_PROP(Pushes, ReachEverybodyWithinTheMessages, ()) {
+RC_GTEST_PROP(PushScheduler, ReachEverybodyWithinTheMessages, ()) {
   constexpr std::uint16_t proxies = 4;
-  Pushes pushes(kLimits);
+  PushScheduler pushes(kLimits);
   std::map<ProxyId, std::deque<std::pair<Nanos, std::uint64_t>>> messages;
-  std::map<ProxyId, std::shared_ptr<const Holding>> standing, given;
-  std::multimap<Nanos, Offer> under_way;
+  std::map<ProxyId, std::shared_ptr<const ProxySnapshot>> standing, given;
+  std::multimap<Nanos, PendingPush> under_way;
   for (std::uint16_t p = 0; p < proxies; ++p) {
     pushes.introduce(0s, ProxyId{p});
     pushes.next(0s);
@@ -209,7 +209,7 @@
         pushes.failed(now, offer.proxy);
       } else {
         if (offer.holding) given[offer.proxy] = offer.holding;
-        pushes.taken(now, offer.proxy, offer.holding ? offer.holding->since : VersionNumber{});
+        pushes.taken(now, offer.proxy, offer.holding ? offer.holding->since : SnapshotVersion{});
       }
     }
     while (const auto offer = pushes.next(now)) {
@@ -242,18 +242,18 @@
 
 // What keeps a proxy's tables, as plainly as it can be said.
 struct Keeper {
-  Met lies;
+  RemoteState lies;
   int quiet = 0;  // steps since its owner spoke
-  Met look(const Claims& by, ProxyId proxy) {
+  RemoteState look(const LeaseTable& by, ProxyId proxy) {
     if (lies.any && lies.owner == by.owner() && lies.epoch == by.epoch(proxy)) quiet = 0;
     auto seen = lies;
     seen.stale = lies.any && quiet > 5;
     return seen;
   }
-  bool take(const Claims& by, ProxyId proxy, std::uint64_t version) {
+  bool take(const LeaseTable& by, ProxyId proxy, std::uint64_t version) {
     const auto epoch = by.epoch(proxy);
     if (lies.any && (epoch < lies.epoch || (epoch == lies.epoch && by.owner() != lies.owner))) return false;
-    lies = {true, epoch, VersionNumber{version}, by.owner(), false, {}};
+    lies = {true, epoch, SnapshotVersion{version}, by.owner(), false, {}};
     quiet = 0;
     return true;
   }
@@ -262,15 +262,15 @@
 // Processes start, die, fall silent and speak in any order, with clocks that go back. Whoever is told that a
 // proxy is its own gets its next order taken unless another claimed since; nobody gets one taken who was told
 // otherwise; nothing changes hands but by a first meeting or an ended lease.
-RC_GTEST_PROP(Claims, OneProcessOrdersAtATime, ()) {
+RC_GTEST_PROP(LeaseTable, OneProcessOrdersAtATime, ()) {
   const ProxyId proxy{3};
   Keeper keeper;
   std::uint64_t made = 0, version = 0;
   const auto start = [&] {
-    return std::make_unique<Claims>(*rc::gen::inRange<std::uint64_t>(1, 20), "g" + std::to_string(++made));
+    return std::make_unique<LeaseTable>(*rc::gen::inRange<std::uint64_t>(1, 20), "g" + std::to_string(++made));
   };
-  std::array<std::unique_ptr<Claims>, 2> governors{start(), start()};
-  std::map<std::string, Claims::Standing> told;
+  std::array<std::unique_ptr<LeaseTable>, 2> governors{start(), start()};
+  std::map<std::string, LeaseTable::Standing> told;
   std::set<std::string> claimed_late;  // and not ordered by yet
   for (int n = *rc::gen::inRange(5, 120); n > 0; --n) {
     auto& one = governors[*rc::gen::inRange<std::size_t>(0, 2)];
@@ -285,11 +285,11 @@
         const bool first = by.epoch(proxy) == 0;
         const auto seen = keeper.look(by, proxy);
         const auto standing = by.met(proxy, seen);
-        if (standing == Claims::Standing::claimed) RC_ASSERT(first || seen.stale);
-        if (first) RC_ASSERT(standing == Claims::Standing::claimed);
+        if (standing == LeaseTable::Standing::claimed) RC_ASSERT(first || seen.stale);
+        if (first) RC_ASSERT(standing == LeaseTable::Standing::claimed);
         told[by.owner()] = standing;
         // An order right after the look is taken, or not, as it says.
-        if (standing == Claims::Standing::claimed) {
+        if (standing == LeaseTable::Standing::claimed) {
           const auto before = keeper.lies;
           RC_ASSERT(keeper.take(by, proxy, ++version));
           RC_ASSERT(!before.any || before.epoch < keeper.lies.epoch);
@@ -297,7 +297,7 @@
         break;
       }
       default: {
-        if (!told.contains(by.owner()) || told[by.owner()] == Claims::Standing::theirs) break;
+        if (!told.contains(by.owner()) || told[by.owner()] == LeaseTable::Standing::theirs) break;
         const auto before = keeper.lies;
         if (keeper.take(by, proxy, ++version)) {
           // Or it claimed what nobody had spoken to, and orders only now.
@@ -306,7 +306,7 @@
         } else {
           const auto seen = keeper.look(by, proxy);
           told[by.owner()] = by.met(proxy, seen);
-          RC_ASSERT((told[by.owner()] == Claims::Standing::claimed) == seen.stale);
+          RC_ASSERT((told[by.owner()] == LeaseTable::Standing::claimed) == seen.stale);
           if (seen.stale) claimed_late.insert(by.owner());
         }
       }
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -7,7 +7,7 @@
 #include "net/socket.h"
 #include "record.pb.h"
 #include "record/edit.h"
-#include "record/tap.h"
+#include "record/recording_controller.h"
 #include "record/writer.h"
 #include "replay/anonymise.h"
 #include "replay/history.h"
@@ -20,7 +20,7 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-using test::Place;
+using test::RegisteredEndpoint;
 
 replay::Options exact() {
   replay::Options options;
@@ -36,25 +36,25 @@
   const auto config = config::parse_config(test::small_config_text(), "small");
   Writer writer({folder, 1U << 30, 2000});
   test::DeafHost host;
-  Tap tap(config::module_settings(config), config.seed, begun, host, &writer, config.text);
-  std::vector<ListEntry> list;
+  RecordingController tap(config::module_settings(config), config.seed, begun, host, &writer, config.text);
+  std::vector<EndpointUpdate> list;
   for (std::uint32_t n = 0; n < names.size(); ++n) {
     tap.named(begun, ReplicaId{n}, names[n]);
-    list.push_back({ReplicaId{n}, ZoneId{0}, {}, {}, Phase::ready, 1, {}});
+    list.push_back({ReplicaId{n}, ZoneId{0}, {}, {}, EndpointPhase::ready, 1, {}});
   }
-  tap.list_received(begun, ListKind::cached, list);
-  tap.proxy_joined(begun, ProxyId{0}, ZoneId{0}, 10, true);
+  tap.on_endpoint_list(begun, EndpointListKind::cached, list);
+  tap.on_proxy_joined(begun, ProxyId{0}, ZoneId{0}, 10, true);
   for (int n = 1; n <= reports; ++n) {
     const Nanos at = begun + n * 1s;
     for (std::uint32_t r = 0; r < names.size(); ++r)
-      tap.replica_summed(at, {ZoneId{0}, ReplicaId{r}, 9, r, 80ms, 1s, {0.5F}}, {ProxyId{0}, n * 1ms});
-    tap.demand_summed(at, {ClassId{0}, 20, 1, 1s}, {ProxyId{0}, n * 1ms});
-    tap.demand_summed(at, {ClassId{1}, 10, 0, 1s}, {ProxyId{0}, n * 1ms});
+      tap.on_replica_load_report(at, {ZoneId{0}, ReplicaId{r}, 9, r, 80ms, 1s, {0.5F}}, {ProxyId{0}, n * 1ms});
+    tap.on_demand_report(at, {ClassId{0}, 20, 1, 1s}, {ProxyId{0}, n * 1ms});
+    tap.on_demand_report(at, {ClassId{1}, 10, 0, 1s}, {ProxyId{0}, n * 1ms});
   }
 }
 
 TEST(Files, AreTakenInTheirOrderAndOnce) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"});
   live(place.in("a"), 100s, {"y", "x"});
   const auto files = files_of({place.in("a")});
@@ -71,7 +71,7 @@
 }
 
 TEST(Files, StayInOrderWhenTheClockWasSetBack) {
-  Place place;
+  RegisteredEndpoint place;
   fs::create_directories(place.in("a"));
   // A life whose file is named by a clock that ran years ahead.
   Copy ahead(place.in("ahead"));
@@ -91,7 +91,7 @@
 
 // As a full disk leaves it.
 TEST(Files, WithoutAByteAreDamagedOnes) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"});
   std::ofstream(place.in("a") + "/002000000000000-000000.rec");
   const auto outcome = replay::replay(files_of({place.in("a")}), exact());
@@ -102,7 +102,7 @@
 
 // Any byte of a file's head: a plain message, or the blocks are all there and the damage is told.
 TEST(Files, TellOfADamagedHead) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"}, 2);
   const auto whole = bytes_of(files_of({place.in("a")}).front());
   const auto entries_in = [](const std::string& text, std::size_t& damaged) {
@@ -131,7 +131,7 @@
 
 // Schema 1: a shorter head, and lines that do not say whose they are.
 TEST(Files, OfAnOlderSchemaAreRead) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"}, 3);
   kept::Block all;
   std::string old("OSPREC\1\0", 8);
@@ -161,7 +161,7 @@
 }
 
 TEST(History, KnowsReplicasByNameThroughAllLives) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y", "z"});
   live(place.in("a"), 500s, {"z", "x"});
   const auto history = replay::read_history(files_of({place.in("a")}));
@@ -180,7 +180,7 @@
 }
 
 TEST(Edit, CutsFromTheBeginningReplayAndOthersSayWhatIsMissing) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"});
   const auto files = files_of({place.in("a")});
   EXPECT_GT(cut(files, {0s, 4500ms}, place.in("head")), 0U);
@@ -202,7 +202,7 @@
 }
 
 TEST(Edit, MergesFoldersIntoOne) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"});
   live(place.in("b"), 300s, {"x"});
   const auto files = files_of({place.in("b"), place.in("a"), place.in("b")});
@@ -214,7 +214,7 @@
 }
 
 TEST(Edit, AnonymisesAllNamesAndNoOrder) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"east-1", "secret-unit"});
   live(place.in("a"), 300s, {"secret-unit"});
   const auto files = files_of({place.in("a")});
@@ -232,7 +232,7 @@
 }
 
 TEST(Seek, UnpacksOnlyWhatTouchesTheWindow) {
-  Place place;
+  RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"}, 60);
   std::size_t lines = 0;
   Nanos first = Nanos::max(), last{};
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -10,7 +10,7 @@
 
 #include "record.pb.h"
 #include "record/reader.h"
-#include "record/tap.h"
+#include "record/recording_controller.h"
 #include "record/writer.h"
 #include "replay/replay.h"
 #include "support.h"
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-using test::Place;
+using test::RegisteredEndpoint;
 
 // Three blocks of one entry each.
 std::string three_blocks() {
@@ -82,7 +82,7 @@
 }
 
 TEST(Writer, NeverWaitsForTheDiskAndSaysWhatIsLost) {
-  Place place;
+  RegisteredEndpoint place;
   std::atomic<bool> stuck = true;
   const std::string entry(8000, 'x');
   constexpr std::uint64_t handed = 2000;
@@ -110,7 +110,7 @@
 }
 
 TEST(Writer, KeepsNoMoreThanItMay) {
-  Place place;
+  RegisteredEndpoint place;
   std::mt19937 chance(7);
   {
     Writer writer({place.path.string(), 400'000, 100'000, 1h});
@@ -131,7 +131,7 @@
 
 class Nobody : public test::DeafHost {
  public:
-  void arm(Nanos, TimerId timer) override { armed.push_back(timer); }
+  void start_timer(Nanos, TimerId timer) override { armed.push_back(timer); }
   std::vector<TimerId> armed;
 };
 
@@ -145,12 +145,12 @@
 
 // Lists, sums, joins and timers in any order, late ones too; then the same again from the record.
 RC_GTEST_PROP(Replay, OrdersTheSame, ()) {
-  Place place;
+  RegisteredEndpoint place;
   {
     Writer writer({place.path.string()});
     Nobody host;
     Nanos now = 1s;
-    Tap tap(settings(), 5, now, host, &writer, "x");
+    RecordingController tap(settings(), 5, now, host, &writer, "x");
     std::set<std::uint16_t> joined;
     for (int n = *rc::gen::inRange(1, 80); n > 0; --n) {
       now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
@@ -158,34 +158,34 @@
       const auto proxy = *rc::gen::inRange<std::uint16_t>(0, 3);
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
-          tap.list_received(now, ListKind::changes,
+          tap.on_endpoint_list(now, EndpointListKind::changes,
                             {{replica,
                               ZoneId{static_cast<std::uint16_t>(proxy % 2)},
                               {},
                               {},
-                              *rc::gen::element(Phase::ready, Phase::draining, Phase::gone),
+                              *rc::gen::element(EndpointPhase::ready, EndpointPhase::draining, EndpointPhase::gone),
                               1,
                               now}});
           break;
         case 1:
           if (joined.insert(proxy).second) {
-            tap.proxy_joined(now, ProxyId{proxy}, ZoneId{static_cast<std::uint16_t>(proxy % 2)}, 10, true);
+            tap.on_proxy_joined(now, ProxyId{proxy}, ZoneId{static_cast<std::uint16_t>(proxy % 2)}, 10, true);
           } else {
             joined.erase(proxy);
-            tap.proxy_left(now, ProxyId{proxy});
+            tap.on_proxy_left(now, ProxyId{proxy});
           }
           break;
         case 2:
-          tap.replica_summed(now,
+          tap.on_replica_load_report(now,
                              {ZoneId{0}, replica, 10, *rc::gen::inRange<std::uint32_t>(0, 10), 200ms, 1s, {}},
                              {ProxyId{proxy}, 0ns});
           break;
         case 3:
-          tap.demand_summed(now, {ClassId{0}, 20, 2, 1s}, {ProxyId{proxy}, 0ns});
+          tap.on_demand_report(now, {ClassId{0}, 20, 2, 1s}, {ProxyId{proxy}, 0ns});
           break;
         default:
           if (host.armed.empty()) break;
-          tap.timer_due(now, host.armed.back());
+          tap.on_timer(now, host.armed.back());
           host.armed.pop_back();
       }
     }
@@ -200,7 +200,7 @@
 
 // A record in which an order was another: the replay names it.
 TEST(Replay, NamesTheFirstDifferenceAndStopsAtAGap) {
-  Place place;
+  RegisteredEndpoint place;
   const auto file = (place.path / "a.rec").string();
   kept::Block block;
   auto& begin = *block.add_entries();
@@ -209,7 +209,7 @@
   {
     Nobody host;
     Writer writer({(place.path / "w").string()});
-    Tap tap(settings(), 5, Nanos(1), host, &writer, "x");
+    RecordingController tap(settings(), 5, Nanos(1), host, &writer, "x");
   }
   const auto recorded = bytes_of(record::files_of({(place.path / "w").string()}).front());
   Blocks blocks(recorded);
--- a/tests/program/report_test.cpp
+++ b/tests/program/report_test.cpp
@@ -13,13 +13,13 @@
 using namespace std::chrono_literals;
 
 TEST(Page, IsDrawnWhateverNamesThereAre) {
-  whatif::History history;
+  simulation::History history;
   history.length = 10s;
   history.lives = {{0s, 10s}};
   history.replicas = {"a\"; system \"touch pwned", "<b>&"};
   history.reports.push_back({ProxyId{0}, 1s, 2s, 2s + 30ms, {}, {}});
-  whatif::ModelError error;
-  whatif::Answer answer;
+  simulation::ModelError error;
+  simulation::Answer answer;
   answer.label = "x' END_OF_DATA <script>";
   answer.service = {0.5, 0.75, 1, 0.01};
   answer.rules = {{"no proxy bare", 1, 2, "longest 9 s"}};
--- a/tests/program/book_test.cpp
+++ b/tests/program/routing_state_test.cpp
@@ -7,10 +7,10 @@
 #include <map>
 #include <set>
 
-#include "book/handouts.h"
-#include "book/order_book.h"
+#include "routing_state/pull_delivery.h"
+#include "routing_state/routing_state.h"
 
-namespace ospreypost::book {
+namespace ospreypost::routing_state {
 namespace {
 
 using namespace std::chrono_literals;
@@ -20,16 +20,16 @@
 // Every order as it came; works out what a proxy may use from scratch each time it is asked.
 struct PlainBook {
   std::map<TableId, std::map<ReplicaId, double>> tables;
-  std::map<TableId, std::map<std::size_t, Terms>> own_terms;
-  std::map<std::size_t, Terms> terms;
+  std::map<TableId, std::map<std::size_t, TrafficPolicy>> own_terms;
+  std::map<std::size_t, TrafficPolicy> terms;
   std::map<ProxyId, std::map<std::size_t, TableId>> bound;
   std::set<ReplicaId> out;
 
-  std::optional<View> view(ProxyId proxy, std::size_t cls) const {
+  std::optional<RoutingTable> view(ProxyId proxy, std::size_t cls) const {
     const auto tables_of = bound.find(proxy);
     if (tables_of == bound.end() || !tables_of->second.contains(cls)) return std::nullopt;
     const auto table = tables_of->second.at(cls);
-    View view{{}, std::vector<Terms>(kClasses)};
+    RoutingTable view{{}, std::vector<TrafficPolicy>(kClasses)};
     if (tables.contains(table)) {
       for (const auto& [replica, weight] : tables.at(table)) {
         if (!out.contains(replica)) view.lines.push_back({replica, weight});
@@ -47,7 +47,7 @@
 
 ClassMask random_mask() { return static_cast<ClassMask>(*rc::gen::inRange(0, 4)); }
 
-void order_at_random(OrderBook& book, PlainBook& plain) {
+void order_at_random(RoutingState& book, PlainBook& plain) {
   const ReplicaId replica{static_cast<std::uint32_t>(*rc::gen::inRange(0, 5))};
   const TableId table{static_cast<std::uint16_t>(*rc::gen::inRange(0, 3))};
   const ProxyId proxy{static_cast<std::uint16_t>(*rc::gen::inRange(0, 4))};
@@ -57,7 +57,7 @@
     case 0:
     case 1: {
       const double weight = *rc::gen::inRange(0, 3);
-      book.set_line(table, replica, weight);
+      book.set_table_entry(table, replica, weight);
       if (weight > 0) plain.tables[table][replica] = weight;
       if (weight == 0) plain.tables[table].erase(replica);
       return;
@@ -75,15 +75,15 @@
       return;
     case 4: {
       const bool out = *rc::gen::arbitrary<bool>();
-      book.withdraw(replica, out);
+      book.set_ejected(replica, out);
       out ? void(plain.out.insert(replica)) : void(plain.out.erase(replica));
       return;
     }
     case 5: {
       const double level = *rc::gen::inRange(0, 3) / 2.0;
-      const auto retry = static_cast<Retry>(*rc::gen::inRange(0, 4));
+      const auto retry = static_cast<RetryMode>(*rc::gen::inRange(0, 4));
       const bool all = *rc::gen::arbitrary<bool>();
-      book.set_level(all ? kEveryTable : table, mask, level, retry);
+      book.set_admitted_fraction(all ? kAllTables : table, mask, level, retry);
       for (std::size_t k = 0; k < kClasses; ++k) {
         if (named(k)) (all ? plain.terms : plain.own_terms[table])[k] = {level, retry};
       }
@@ -100,10 +100,10 @@
   }
 }
 
-RC_GTEST_PROP(OrderBook, AgreesWithThePlainModel, ()) {
-  OrderBook book(kClasses);
+RC_GTEST_PROP(RoutingState, AgreesWithThePlainModel, ()) {
+  RoutingState book(kClasses);
   PlainBook plain;
-  std::map<ProxyId, std::shared_ptr<const Holding>> last;
+  std::map<ProxyId, std::shared_ptr<const ProxySnapshot>> last;
   std::uint64_t number = 0;
   for (int calls = *rc::gen::inRange(1, 30); calls > 0; --calls) {
     for (int orders = *rc::gen::inRange(0, 6); orders > 0; --orders) order_at_random(book, plain);
@@ -132,20 +132,20 @@
   }
 }
 
-std::shared_ptr<const Holding> random_holding(std::uint64_t since) {
-  auto view = std::make_shared<View>();
+std::shared_ptr<const ProxySnapshot> random_holding(std::uint64_t since) {
+  auto view = std::make_shared<RoutingTable>();
   view->terms.resize(1);
   for (std::uint32_t id = 0; id < 4; ++id) {
     const double weight = *rc::gen::inRange(0, 4);
     if (weight > 0) view->lines.push_back({ReplicaId{id}, weight});
   }
-  auto holding = std::make_shared<Holding>();
-  holding->since = VersionNumber{since};
+  auto holding = std::make_shared<ProxySnapshot>();
+  holding->since = SnapshotVersion{since};
   holding->views = {view};
   return holding;
 }
 
-double weight_in(const Holding& holding, ReplicaId id) {
+double weight_in(const ProxySnapshot& holding, ReplicaId id) {
   for (const auto& line : holding.views[0]->lines) {
     if (line.replica == id) return line.weight;
   }
@@ -154,13 +154,13 @@
 
 // Whatever is ordered and whenever it is asked for: no window holds too many messages, nobody is sent where
 // the standing table does not let it, and what waits stays below the whole of what there is.
-RC_GTEST_PROP(Handouts, KeepTheMessagesAndNeverNameWhatIsOut, ()) {
+RC_GTEST_PROP(PullDelivery, KeepTheMessagesAndNeverNameWhatIsOut, ()) {
   const auto allowed = static_cast<std::size_t>(*rc::gen::inRange(4, 14));
-  Handouts handouts({2, allowed, 10s});
+  PullDelivery handouts({2, allowed, 10s});
   const ProxyId proxy{3};
   Nanos now{100s};
   handouts.joined(now, proxy);
-  std::shared_ptr<const Holding> standing, given;
+  std::shared_ptr<const ProxySnapshot> standing, given;
   std::deque<Nanos> messages;
   for (int steps = *rc::gen::inRange(1, 200); steps > 0; --steps) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 400));
@@ -183,36 +183,36 @@
   }
 }
 
-std::shared_ptr<const Holding> holding_of(std::uint64_t since, std::vector<Line> lines) {
-  auto view = std::make_shared<View>();
+std::shared_ptr<const ProxySnapshot> holding_of(std::uint64_t since, std::vector<TableEntry> lines) {
+  auto view = std::make_shared<RoutingTable>();
   view->lines = std::move(lines);
-  auto holding = std::make_shared<Holding>();
-  holding->since = VersionNumber{since};
+  auto holding = std::make_shared<ProxySnapshot>();
+  holding->since = SnapshotVersion{since};
   holding->views = {view};
   return holding;
 }
 
-TEST(Handouts, AWithdrawalIsToldAtOnceWhileAPlainChangeWaits) {
-  Handouts handouts({1, 12, 10s});
+TEST(PullDelivery, AWithdrawalIsToldAtOnceWhileAPlainChangeWaits) {
+  PullDelivery handouts({1, 12, 10s});
   const ProxyId proxy{0};
-  const Line a{ReplicaId{1}, 1}, b{ReplicaId{2}, 1}, c{ReplicaId{3}, 1};
+  const TableEntry a{ReplicaId{1}, 1}, b{ReplicaId{2}, 1}, c{ReplicaId{3}, 1};
   handouts.joined(0s, proxy);
   handouts.ordered(0s, proxy, holding_of(1, {a, b}), 2);
   ASSERT_TRUE(handouts.take(0s, proxy));
   handouts.ordered(10ms, proxy, holding_of(2, {a, b, c}), 1);
-  EXPECT_EQ(handouts.take(20ms, proxy)->since, VersionNumber{1});
+  EXPECT_EQ(handouts.take(20ms, proxy)->since, SnapshotVersion{1});
   handouts.ordered(30ms, proxy, holding_of(3, {a, c}), 1);
-  EXPECT_EQ(handouts.take(40ms, proxy)->since, VersionNumber{3});
+  EXPECT_EQ(handouts.take(40ms, proxy)->since, SnapshotVersion{3});
   EXPECT_EQ(handouts.counts().held_back, 1U);
 }
 
-TEST(Handouts, MarksAreReachedWithWhatCarriesThemOrMore) {
-  Handouts handouts({1, 12, 10s});
+TEST(PullDelivery, MarksAreReachedWithWhatCarriesThemOrMore) {
+  PullDelivery handouts({1, 12, 10s});
   const ProxyId proxy{0};
-  const Line a{ReplicaId{1}, 1};
+  const TableEntry a{ReplicaId{1}, 1};
   handouts.joined(0s, proxy);
   handouts.ordered(0s, proxy, holding_of(1, {a}), 1);
-  handouts.mark(0s, MarkId{7}, VersionNumber{1}, {proxy});
+  handouts.request_acknowledgement(0s, AckRequestId{7}, SnapshotVersion{1}, {proxy});
   EXPECT_TRUE(handouts.reached(1s, proxy).empty());
   ASSERT_TRUE(handouts.take(1s, proxy));
   const auto reached = handouts.reached(2s, proxy);
