--- a/tests/program/day_test.cpp
+++ b/tests/program/scenario_test.cpp
@@ -2,12 +2,12 @@
 #include <gtest/gtest.h>
 
 #include "config/config.h"
-#include "day/script.h"
+#include "scenario/scenario.h"
 #include "program/support.h"
 #include "replay/export_day.h"
 #include "terms/deployment.h"
 
-namespace ospreypost::day {
+namespace ospreypost::scenario {
 namespace {
 
 using namespace std::chrono_literals;
@@ -21,13 +21,13 @@
   <troubles>)" +
          troubles + "</troubles></day>";
 }
-std::vector<Trouble> troubles_of(const std::string& text) {
+std::vector<Fault> troubles_of(const std::string& text) {
   return parse_script(day_text(text), "made", "/nowhere").troubles;
 }
 std::string fault_of(const std::string& text) {
   try {
     troubles_of(text);
-  } catch (const config::Faulty& fault) {
+  } catch (const config::ConfigError& fault) {
     return fault.what();
   }
   return "";
@@ -72,22 +72,22 @@
 
 // --- Days of records
 
-whatif::History history_of(const config::Config& config) {
-  whatif::History history;
+simulation::History history_of(const config::Config& config) {
+  simulation::History history;
   history.configuration = config.text;
   history.length = 60s;
   history.lives = {{0s, 30s}, {33s, 60s}};
   history.replicas = {"unit--a", "unit-b", "unit-c"};
-  const auto entry = [](std::uint32_t n, Phase phase, std::optional<Nanos> started = {}) {
-    return ListEntry{ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, phase, 1, started};
+  const auto entry = [](std::uint32_t n, EndpointPhase phase, std::optional<Nanos> started = {}) {
+    return EndpointUpdate{ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, phase, 1, started};
   };
   history.lists = {
-      {0s, ListKind::cached, false, {entry(0, Phase::ready), entry(1, Phase::ready), entry(2, Phase::ready)}},
-      {10s, ListKind::changes, false, {entry(0, Phase::gone)}},
-      {14s, ListKind::changes, false, {entry(0, Phase::ready, 14s)}},
-      {20s, ListKind::changes, false, {entry(1, Phase::draining)}},
-      {24s, ListKind::changes, false, {entry(1, Phase::gone)}},
-      {26s, ListKind::changes, false, {entry(1, Phase::ready, 26s)}}};
+      {0s, EndpointListKind::cached, false, {entry(0, EndpointPhase::ready), entry(1, EndpointPhase::ready), entry(2, EndpointPhase::ready)}},
+      {10s, EndpointListKind::changes, false, {entry(0, EndpointPhase::gone)}},
+      {14s, EndpointListKind::changes, false, {entry(0, EndpointPhase::ready, 14s)}},
+      {20s, EndpointListKind::changes, false, {entry(1, EndpointPhase::draining)}},
+      {24s, EndpointListKind::changes, false, {entry(1, EndpointPhase::gone)}},
+      {26s, EndpointListKind::changes, false, {entry(1, EndpointPhase::ready, 26s)}}};
   history.memberships = {{1s, ProxyId{0}, true, ZoneId{0}, 10, true}};
   for (Nanos from = 0s; from < 60s; from += 1s) {
     const std::uint32_t operations = from >= 50s && from < 54s ? 60 : 20;
@@ -102,7 +102,7 @@
   return history;
 }
 
-std::string elements(const Script& script) {
+std::string elements(const Scenario& script) {
   std::string all;
   for (const auto& trouble : script.troubles)
     all += trouble.text + (trouble.whom.empty() ? "" : " " + trouble.whom.front()) + " " +
@@ -113,7 +113,7 @@
 TEST(ExportedDay, SaysWhatBefellTheFleet) {
   const auto config = config::parse_config(test::small_config_text(), "small");
   const auto history = history_of(config);
-  whatif::Fleet fleet;
+  simulation::Fleet fleet;
   fleet.replicas = {{ZoneId{0}, {}, 1, 2, true, {{9s, 12s, 1, 1, 0, 0}}},
                     {ZoneId{0}, {}, 1, 2, true, {}},
                     {ZoneId{1}, {}, 0.5, 4, true, {{45s, 48s, 1, 1, 0, 1}, {55s, 57s, 0, 4, 0, 0}}}};
@@ -138,7 +138,7 @@
   const auto config = config::parse_config(test::small_config_text(), "small");
   auto history = history_of(config);
   history.length = 2h;
-  whatif::Fleet fleet;
+  simulation::Fleet fleet;
   fleet.replicas.resize(3);
   EXPECT_THROW(replay::export_day(history, terms::deployment_of(config), fleet, {}, "made", "g.xml"),
                std::invalid_argument);
--- a/tests/program/whatif_test.cpp
+++ b/tests/program/simulation_test.cpp
@@ -9,10 +9,10 @@
 
 #include "program/support.h"
 #include "terms/deployment.h"
-#include "whatif/answer.h"
-#include "whatif/evidence.h"
+#include "simulation/answer.h"
+#include "simulation/evidence.h"
 
-namespace ospreypost::whatif {
+namespace ospreypost::simulation {
 namespace {
 
 using namespace std::chrono_literals;
@@ -23,33 +23,33 @@
 
 // The plain model: each line's failures spread evenly over its span.
 double plain_fails(const std::vector<Seen>& lines, std::size_t bin) {
-  double tries = 0, failed = 0;
+  double attempts = 0, failed = 0;
   for (const auto& line : lines) {
     const Nanos from = std::max(line.from, static_cast<Nanos::rep>(bin) * kBin);
     const Nanos to = std::min(line.to, static_cast<Nanos::rep>(bin + 1) * kBin);
     if (to <= from) continue;
     const double share = seconds(to - from) / seconds(line.to - line.from);
-    tries += share * line.tries, failed += share * line.failed;
+    attempts += share * line.attempts, failed += share * line.failed;
   }
-  return tries > 0 ? failed / tries : 0;
+  return attempts > 0 ? failed / attempts : 0;
 }
 
 RC_GTEST_PROP(Evidence, KeepsTriesAndSharesOfThem, ()) {
   std::vector<Seen> lines;
-  double tries = 0;
+  double attempts = 0;
   for (int n = *rc::gen::inRange(0, 40); n > 0; --n) {
     const Nanos from = *rc::gen::inRange(0, 9000) * 1ms;
     const double all = *rc::gen::inRange(0, 50), failed = *rc::gen::inRange(0, static_cast<int>(all) + 1);
     lines.push_back({from, from + *rc::gen::inRange(1, 1000) * 1ms, all, failed, all - failed, {}});
-    tries += all;
+    attempts += all;
   }
   const auto evidence = evidence_of(lines, 10s);
   double found = 0;
   for (const auto& bin : evidence) {
     RC_ASSERT(bin.fails >= 0 && bin.fails <= 1);
-    found += bin.tries;
+    found += bin.attempts;
   }
-  RC_ASSERT(std::abs(found - tries) < 1e-6 * std::max(1.0, tries));
+  RC_ASSERT(std::abs(found - attempts) < 1e-6 * std::max(1.0, attempts));
 }
 
 // Five proxies whose spans begin at different moments see a replica fail from 5 s on.
@@ -86,10 +86,10 @@
   history.length = length;
   history.lives = {{0s, length}};
   history.replicas = {"east-1", "east-2", "west-1", "west-2"};
-  ListNews list{1ms, ListKind::cached, false, {}};
+  ListNews list{1ms, EndpointListKind::cached, false, {}};
   for (std::uint32_t n = 0; n < 4; ++n)
     list.entries.push_back(
-        {ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, Phase::ready, 1, {}});
+        {ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, EndpointPhase::ready, 1, {}});
   history.lists.push_back(list);
   for (std::uint16_t p = 0; p < 2; ++p) {
     history.memberships.push_back({2ms, ProxyId{p}, true, ZoneId{p}, 10, true});
@@ -245,7 +245,7 @@
 TEST(Played, IsJudged) {
   auto history = made_history(30s, 20);
   history.lists.push_back(
-      {10500ms, ListKind::changes, false, {{ReplicaId{0}, {}, {}, {}, Phase::draining, 1, {}}}});
+      {10500ms, EndpointListKind::changes, false, {{ReplicaId{0}, {}, {}, {}, EndpointPhase::draining, 1, {}}}});
   auto limits = deployment();
   for (const auto& rule : play(history, limits, made_fleet(), 1).verdict.rules)
     EXPECT_TRUE(rule.kept) << rule.name << ": " << rule.figures;
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -45,12 +45,12 @@
 }
 
 // A folder of a test's own, gone with it.
-struct Place {
-  Place() {
+struct RegisteredEndpoint {
+  RegisteredEndpoint() {
     auto pattern = (std::filesystem::temp_directory_path() / "ospreypost-test-XXXXXX").string();
     path = ::mkdtemp(pattern.data());
   }
-  ~Place() {
+  ~RegisteredEndpoint() {
     std::error_code ignored;
     std::filesystem::remove_all(path, ignored);
   }
@@ -59,19 +59,19 @@
 };
 
 // Drops every order.
-class DeafHost : public Host {
+class DeafHost : public ActionSink {
  public:
-  void set_line(TableId, ReplicaId, double) override {}
+  void set_table_entry(TableId, ReplicaId, double) override {}
   void clear_table(TableId) override {}
   void bind(ProxyId, TableId, ClassMask) override {}
-  void withdraw(ReplicaId, bool) override {}
-  void set_level(TableId, ClassMask, double, Retry) override {}
-  void mark(MarkId, bool) override {}
-  void arm(Nanos, TimerId) override {}
-  void watch_list(bool) override {}
-  void look_up_list() override {}
-  void probe(ReplicaId) override {}
-  void tell(std::optional<PeerId>, std::string_view) override {}
+  void set_ejected(ReplicaId, bool) override {}
+  void set_admitted_fraction(TableId, ClassMask, double, RetryMode) override {}
+  void request_acknowledgement(AckRequestId, bool) override {}
+  void start_timer(Nanos, TimerId) override {}
+  void watch_endpoint_list(bool) override {}
+  void refresh_endpoint_list() override {}
+  void request_health_check(ReplicaId) override {}
+  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
   void log(std::string_view) override {}
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/simulator_test.cpp
@@ -5,8 +5,8 @@
 #include <limits>
 #include <string>
 
-#include "adapter/adapter.h"
-#include "wire/settings.h"
+#include "simulator/adapter.h"
+#include "simulator/settings.h"
 
 namespace ospreypost::test {
 namespace {
@@ -67,7 +67,7 @@
   Adapter adapter;
   try {
     answer(adapter, frame);
-  } catch (const wire::Malformed& error) {
+  } catch (const simulator::ProtocolError& error) {
     return error.what();
   }
   return "";
@@ -123,17 +123,17 @@
     ASSERT_TRUE(pipe(in) == 0 && pipe(out) == 0);
     ASSERT_EQ(write(in[1], whole.data(), cut), static_cast<ssize_t>(cut));
     close(in[1]);
-    EXPECT_THROW(serve(in[0], out[1]), wire::Malformed);
+    EXPECT_THROW(serve(in[0], out[1]), simulator::ProtocolError);
     for (const int fd : {in[0], out[0], out[1]}) close(fd);
   }
 }
 
 TEST(Settings, AreReadAndUnknownKeysIgnored) {
-  const auto settings = wire::parse_settings(kSettings);
+  const auto settings = simulator::parse_settings(kSettings);
   ASSERT_EQ(settings.classes.size(), 1u);
-  EXPECT_EQ(settings.classes[0].target_time, std::chrono::milliseconds(1500));
-  EXPECT_EQ(settings.classes[0].only_zones, std::vector<ZoneId>{ZoneId{1}});
-  EXPECT_EQ(settings.picking, Picking::two);
+  EXPECT_EQ(settings.classes[0].latency_objective, std::chrono::milliseconds(1500));
+  EXPECT_EQ(settings.classes[0].allowed_zones, std::vector<ZoneId>{ZoneId{1}});
+  EXPECT_EQ(settings.picking, PickingPolicy::two);
   EXPECT_EQ(settings.zones, 2u);
 }
 
--- a/tests/support.h
+++ b/tests/support.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "rules.h"
+#include "policy/controller.h"
 
 namespace ospreypost::test {
 
@@ -19,35 +19,35 @@
 inline Settings small_settings() {
   Settings s;
   ClassSettings read;
-  read.effect = Effect::idempotent;
-  read.target_time = 1s;
-  read.abandon_time = 3s;
+  read.effect = Idempotency::idempotent;
+  read.latency_objective = 1s;
+  read.request_deadline = 3s;
   ClassSettings write = read;
-  write.effect = Effect::at_most_once;
+  write.effect = Idempotency::at_most_once;
   s.classes = {read, write};
   s.zones = 3;
-  s.reporting = Reporting::in_sums;
-  s.load_columns = {LoadColumn::util};
-  s.admission = Admission::share;
-  s.report_every = 1s;
-  s.message_time = 500ms;
-  s.ask_within = 10s;
+  s.reporting = ReportingMode::in_load_reports;
+  s.load_columns = {LoadMetric::util};
+  s.admission = AdmissionMode::share;
+  s.report_interval = 1s;
+  s.message_delay = 500ms;
+  s.poll_timeout = 10s;
   s.drain_grace = 3s;
-  s.bare_limit = 5s;
-  s.channel_lines_per_second = 5000;
-  s.channel_most_waiting = 10000;
-  s.message_head_lines = 5;
-  s.messages_allowed = 14;
-  s.messages_window = 10s;
-  s.cold_share = 0.2;
-  s.cold_time = 15s;
-  s.fall_multiple = 3;
-  s.fall_time = 2s;
+  s.max_time_without_endpoints = 5s;
+  s.channel_entries_per_second = 5000;
+  s.channel_max_queued_entries = 10000;
+  s.message_overhead_entries = 5;
+  s.max_messages_per_window = 14;
+  s.message_window = 10s;
+  s.initial_warm_up_capacity = 0.2;
+  s.warm_up_duration = 15s;
+  s.overload_multiple = 3;
+  s.overload_duration = 2s;
   return s;
 }
 
-inline ListEntry entry(std::uint32_t id, std::uint16_t zone = 0, Phase phase = Phase::ready) {
-  ListEntry e;
+inline EndpointUpdate entry(std::uint32_t id, std::uint16_t zone = 0, EndpointPhase phase = EndpointPhase::ready) {
+  EndpointUpdate e;
   e.replica = ReplicaId{id};
   e.zone = ZoneId{zone};
   e.phase = phase;
@@ -55,9 +55,9 @@
 }
 
 // Keeps what the proxies would hold, and counts what the channel would carry.
-class BookHost : public Host {
+class BookHost : public ActionSink {
  public:
-  void set_line(TableId table, ReplicaId replica, double weight) override {
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
     repeated += weight > 0 && tables[table].contains(replica) && tables[table][replica] == weight;
     weight > 0 ? void(tables[table][replica] = weight) : void(tables[table].erase(replica));
     ordered = true;
@@ -69,26 +69,26 @@
     }
     bindings.insert(proxy);
   }
-  void withdraw(ReplicaId replica, bool out) override {
+  void set_ejected(ReplicaId replica, bool out) override {
     out ? void(withdrawn.insert(replica)) : void(withdrawn.erase(replica));
     ordered = true;
   }
-  void set_level(TableId, ClassMask classes, double level, Retry retry) override {
+  void set_admitted_fraction(TableId, ClassMask classes, double level, RetryMode retry) override {
     levels.push_back({classes, level, retry});
     ordered = true;
   }
-  void mark(MarkId, bool) override {}
-  void arm(Nanos from_now, TimerId timer) override { timers.insert({now + from_now, timer}); }
-  void watch_list(bool) override { ++watches; }
-  void look_up_list() override {}
-  void probe(ReplicaId replica) override { probes.push_back(replica); }
-  void tell(std::optional<PeerId>, std::string_view) override {}
+  void request_acknowledgement(AckRequestId, bool) override {}
+  void start_timer(Nanos from_now, TimerId timer) override { timers.insert({now + from_now, timer}); }
+  void watch_endpoint_list(bool) override { ++watches; }
+  void refresh_endpoint_list() override {}
+  void request_health_check(ReplicaId replica) override { probes.push_back(replica); }
+  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
   void log(std::string_view line) override { logged.emplace_back(line); }
 
   struct Level {
     ClassMask classes;
     double level;
-    Retry retry;
+    RetryMode retry;
   };
   // The share of class 0's operations that a proxy would send to a replica.
   double part(ProxyId proxy, ReplicaId replica) const {
@@ -119,13 +119,13 @@
 
 // Lets a span pass, with every timer that falls into it; `after` each one.
 template <typename After>
-void turn_clock(BookHost& host, Governor& governor, Nanos span, After after) {
+void turn_clock(BookHost& host, Controller& governor, Nanos span, After after) {
   const auto until = host.now + span;
   while (!host.timers.empty() && host.timers.begin()->first <= until) {
     const auto [at, timer] = *host.timers.begin();
     host.timers.erase(host.timers.begin());
     host.now = std::max(host.now, at);
-    governor.timer_due(host.now, timer);
+    governor.on_timer(host.now, timer);
     after();
   }
   host.now = until;
@@ -136,8 +136,8 @@
 class ChannelHost : public BookHost {
  public:
   ChannelHost(double head, double lines_a_second) : head_(head), lines_a_step_(lines_a_second * kSeconds) {}
-  void set_line(TableId table, ReplicaId replica, double weight) override {
-    BookHost::set_line(table, replica, weight);
+  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
+    BookHost::set_table_entry(table, replica, weight);
     for (const auto& [at, bound_to] : bound) {
       if (at.second == 0 && bound_to == table) ++lines_[at.first];
     }
@@ -146,17 +146,17 @@
     BookHost::bind(proxy, table, classes);
     lines_[proxy] += 1 + static_cast<double>(tables[table].size());
   }
-  void withdraw(ReplicaId replica, bool out) override {
-    BookHost::withdraw(replica, out);
+  void set_ejected(ReplicaId replica, bool out) override {
+    BookHost::set_ejected(replica, out);
     for (const auto& [at, table] : bound) {
       if (at.second == 0 && tables[table].contains(replica)) ++lines_[at.first];
     }
   }
-  void set_level(TableId table, ClassMask classes, double level, Retry retry) override {
-    BookHost::set_level(table, classes, level, retry);
+  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
+    BookHost::set_admitted_fraction(table, classes, level, retry);
     for (const auto proxy : bindings) ++lines_[proxy];
   }
-  void mark(MarkId mark, bool) override { marks_.push_back(mark); }
+  void request_acknowledgement(AckRequestId mark, bool) override { marks_.push_back(mark); }
 
   // After each call.
   void take() {
@@ -168,7 +168,7 @@
     marks_.clear();
     most_waiting = std::max(most_waiting, waiting);
   }
-  void pass(Governor& governor, Nanos span) {
+  void pass(Controller& governor, Nanos span) {
     for (const auto until = now + span; now < until;) {
       turn_clock(*this, governor, kStep, [this] { take(); });
       can_leave_ = queue_.empty() ? 0 : can_leave_ + lines_a_step_;
@@ -177,7 +177,7 @@
         queue_.pop_front();
         can_leave_ -= message.lines, waiting -= message.lines;
         for (const auto mark : message.marks) {
-          if (answers) governor.orders_applied(now, message.proxy, mark, 1ms);
+          if (answers) governor.on_acknowledged(now, message.proxy, mark, 1ms);
         }
         take();
       }
@@ -191,7 +191,7 @@
   struct Message {
     ProxyId proxy{};
     double lines = 0;
-    std::vector<MarkId> marks;
+    std::vector<AckRequestId> marks;
   };
   static constexpr Nanos kStep = 10ms;
   static constexpr double kSeconds = 0.01;
@@ -199,32 +199,32 @@
   std::deque<Message> queue_;
   double can_leave_ = 0;
   std::map<ProxyId, double> lines_;
-  std::vector<MarkId> marks_;
+  std::vector<AckRequestId> marks_;
 };
 
 // A governor with three proxies, one a zone, and the time in hand.
 struct Scene {
   explicit Scene(const Settings& settings = small_settings(), std::uint32_t replicas = 9)
       : governor(settings, 7, host.now, host) {
-    std::vector<ListEntry> entries;
+    std::vector<EndpointUpdate> entries;
     for (std::uint32_t id = 0; id < replicas; ++id) {
       entries.push_back(entry(id, static_cast<std::uint16_t>(id % settings.zones)));
     }
-    governor.list_received(host.now, ListKind::cached, entries);
-    for (std::uint16_t p = 0; p < 3; ++p) governor.proxy_joined(host.now, ProxyId{p}, ZoneId{p}, 20, true);
+    governor.on_endpoint_list(host.now, EndpointListKind::cached, entries);
+    for (std::uint16_t p = 0; p < 3; ++p) governor.on_proxy_joined(host.now, ProxyId{p}, ZoneId{p}, 20, true);
     book();
   }
   void book() {
     if (host.ordered) host.messages.push_back(host.now);
     host.ordered = false;
   }
-  void list(const ListEntry& e) {
-    governor.list_received(host.now, ListKind::changes, {e});
+  void list(const EndpointUpdate& e) {
+    governor.on_endpoint_list(host.now, EndpointListKind::changes, {e});
     book();
   }
   // The replica is gone and at once back, cold.
   void restart(std::uint32_t id, std::uint16_t zone) {
-    list(entry(id, zone, Phase::gone));
+    list(entry(id, zone, EndpointPhase::gone));
     auto fresh = entry(id, zone);
     fresh.started = host.now;
     list(fresh);
@@ -236,19 +236,19 @@
     for (int s = 0; s < 3; ++s) second({}, 8);
   }
   // Lets a second pass, then hands over what a zone met at each replica; `failed` of ten tries at `sick`.
-  void second(const std::map<std::uint32_t, unsigned>& failed = {}, unsigned at_all = 0, unsigned tries = 10,
+  void second(const std::map<std::uint32_t, unsigned>& failed = {}, unsigned at_all = 0, unsigned attempts = 10,
               float use = 0.5F, Nanos span = 1s) {
     pass(span);
     for (std::uint32_t id = 0; id < 9; ++id) {
       if (host.withdrawn.contains(ReplicaId{id})) continue;
-      ReplicaSum sum;
+      ReplicaLoadReport sum;
       sum.replica = ReplicaId{id};
-      sum.tries = tries;
-      sum.failed = std::min(tries, failed.contains(id) ? failed.at(id) : at_all);
-      sum.mean_time = 100ms;
+      sum.attempts = attempts;
+      sum.failed = std::min(attempts, failed.contains(id) ? failed.at(id) : at_all);
+      sum.mean_latency = 100ms;
       sum.span = span;
       sum.load = {use};
-      governor.replica_summed(host.now, sum);
+      governor.on_replica_load_report(host.now, sum);
       book();
     }
   }
@@ -264,7 +264,7 @@
     return -1;
   }
   BookHost host;
-  Governor governor;
+  Controller governor;
 };
 
 }  // namespace ospreypost::test
