--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -27,14 +27,14 @@
       places.replicas.push_back({"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
       view->lines.push_back({ReplicaId{id}, 1.0 + id});
     }
-    auto holding = std::make_shared<routing_state::ProxySnapshot>();
-    holding->views = {view, view};
-    told.verdict = {dns::ClientService::replicas, dns::Ttl{2}};
-    told.holding = holding;
+    auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
+    proxy_snapshot->routing_tables = {view, view};
+    told.ttl_decision = {dns::ClientService::replicas, dns::Ttl{2}};
+    told.proxy_snapshot = proxy_snapshot;
     told.directory = std::make_shared<delivery::EndpointDirectory>(std::move(places));
   }
-  delivery::PullAnswer asked(ProxyId, ClassId) override { return told; }
-  delivery::PullAnswer asked_zone(ZoneId) override { return told; }
+  delivery::PullAnswer on_query(ProxyId, ClassId) override { return told; }
+  delivery::PullAnswer on_zone_query(ZoneId) override { return told; }
   std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return told.directory; }
   routing_state::SnapshotVersion version() const override { return {}; }
   delivery::PullAnswer told;
--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -12,9 +12,9 @@
 #include <filesystem>
 #include <thread>
 
+#include "control_plane/control_plane_server.h"
 #include "dns/message.h"
 #include "fleet.h"
-#include "control_plane/control_plane_server.h"
 
 namespace {
 
--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -14,8 +14,8 @@
 #include <fstream>
 #include <random>
 
-#include "fleet.h"
 #include "control_plane/control_plane.h"
+#include "fleet.h"
 #include "record/writer.h"
 
 namespace {
@@ -73,8 +73,8 @@
   governor.on_endpoint_list(host.at, EndpointListKind::cached, entries);
   const auto proxies = config.proxies.known.size();
   for (std::size_t p = 0; p < proxies; ++p)
-    governor.on_proxy_joined(host.at, ProxyId{static_cast<std::uint16_t>(p)}, config.proxies.known[p].zone, 10,
-                          true);
+    governor.on_proxy_joined(host.at, ProxyId{static_cast<std::uint16_t>(p)}, config.proxies.known[p].zone,
+                             10, true);
   const double cpu = cpu_seconds();
   for (int second = 0; second < seconds; ++second) {
     for (std::size_t p = 0; p < proxies; ++p) {
@@ -87,7 +87,8 @@
       }
       for (std::size_t n = 0; n < lines; ++n) {
         const ReplicaId replica{static_cast<std::uint32_t>((p + n) % replicas)};
-        governor.on_replica_load_report(host.at, {config.proxies.known[p].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
+        governor.on_replica_load_report(host.at,
+                                        {config.proxies.known[p].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
       }
       governor.on_demand_report(host.at, ProxyId{static_cast<std::uint16_t>(p)}, {ClassId{0}, 10, 0, 1s});
     }
@@ -120,10 +121,10 @@
     calls.push_back(std::chrono::duration<double, std::micro>(now() - begun).count());
   };
   const auto asked = [&](std::size_t p) {
-    return live.asked(ProxyId{static_cast<std::uint16_t>(p)}, ClassId{0});
+    return live.on_query(ProxyId{static_cast<std::uint16_t>(p)}, ClassId{0});
   };
   const auto begun_joining = now();
-  for (std::size_t p = 0; p < proxies; ++p) asked(p);
+  for (std::size_t p = 0; p < proxies; ++p) on_query(p);
   std::printf("%zu replicas, %zu proxies: all joined within %.3f s\n", replicas, proxies,
               std::chrono::duration<double>(now() - begun_joining).count());
 
@@ -142,19 +143,19 @@
         const timespec wait{0, std::min<long>(1'000'000, std::max<long>(1, (due - now()).count()))};
         nanosleep(&wait, nullptr);
       }
-      const auto told = asked(p);
+      const auto told = on_query(p);
       const ProxyId id{static_cast<std::uint16_t>(p)};
       live.reported(id);
-      if (told.holding && told.holding->views[0]) {
-        lines = std::max(lines, told.holding->views[0]->lines.size());
-        for (const auto& line : told.holding->views[0]->lines) {
+      if (told.proxy_snapshot && told.proxy_snapshot->routing_tables[0]) {
+        lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->lines.size());
+        for (const auto& line : told.proxy_snapshot->routing_tables[0]->lines) {
           ReplicaLoadReport sum{config.proxies.known[p].zone,
-                         line.replica,
-                         static_cast<std::uint32_t>(1 + chance() % 3),
-                         0,
-                         50ms,
-                         1s,
-                         {0.5F}};
+                                line.replica,
+                                static_cast<std::uint32_t>(1 + chance() % 3),
+                                0,
+                                50ms,
+                                1s,
+                                {0.5F}};
           timed([&] { live.on_replica_load_report(sum, {id, {}}); });
           ++sums;
         }
@@ -173,8 +174,9 @@
     while (named && now() - told_at < 2s) {
       named = false;
       const auto version = live.standing().version;
-      for (const auto& [proxy, holding] : version->holdings) {
-        for (const auto& line : holding->views[0]->lines) named = named || line.replica == gone;
+      for (const auto& [proxy, proxy_snapshot] : version->proxy_snapshots) {
+        for (const auto& line : proxy_snapshot->routing_tables[0]->lines)
+          named = named || line.replica == gone;
       }
     }
     shown.push_back(std::chrono::duration<double, std::milli>(now() - told_at).count());
--- a/bench/push.cpp
+++ b/bench/push.cpp
@@ -16,11 +16,11 @@
 #include <set>
 #include <thread>
 
+#include "control_plane/control_plane_server.h"
 #include "dns/message.h"
+#include "fakes/tables.h"
 #include "files/generation_store.h"
 #include "fleet.h"
-#include "control_plane/control_plane_server.h"
-#include "fakes/tables.h"
 
 namespace {
 
--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -12,8 +12,8 @@
 #include "record/edit.h"
 #include "replay/history.h"
 #include "replay/replay.h"
-#include "terms/deployment.h"
 #include "simulation/simulated_day.h"
+#include "terms/deployment.h"
 
 namespace {
 
--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,6 +1,6 @@
 // Configurations and days as anybody may write them.
-#include "scenario/scenario.h"
 #include "program/support.h"
+#include "scenario/scenario.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
--- a/fuzz/dns_question.cpp
+++ b/fuzz/dns_question.cpp
@@ -9,8 +9,8 @@
 using namespace ospreypost;
 
 struct Nobody : delivery::PullService {
-  delivery::PullAnswer asked(ProxyId, ClassId) override { return told; }
-  delivery::PullAnswer asked_zone(ZoneId) override { return told; }
+  delivery::PullAnswer on_query(ProxyId, ClassId) override { return told; }
+  delivery::PullAnswer on_zone_query(ZoneId) override { return told; }
   std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return told.directory; }
   routing_state::SnapshotVersion version() const override { return {}; }
   Nobody() {
@@ -23,10 +23,10 @@
       places.by_name[name] = ReplicaId{id};
       view->lines.push_back({ReplicaId{id}, 1.0});
     }
-    auto holding = std::make_shared<routing_state::ProxySnapshot>();
-    holding->views = {view, view};
-    told.verdict.service = dns::ClientService::replicas;
-    told.holding = holding;
+    auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
+    proxy_snapshot->routing_tables = {view, view};
+    told.ttl_decision.service = dns::ClientService::replicas;
+    told.proxy_snapshot = proxy_snapshot;
     told.directory = std::make_shared<delivery::EndpointDirectory>(std::move(places));
   }
   delivery::PullAnswer told;
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -11,8 +11,8 @@
 #include "program/support.h"
 #include "record.pb.h"
 #include "replay/export_day.h"
-#include "terms/deployment.h"
 #include "simulation/simulated_day.h"
+#include "terms/deployment.h"
 
 namespace {
 
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,8 +1,9 @@
 // Configurations of the platform, and the lists that they hold.
+#include "platform/platform_config.h"
+
 #include <cstdlib>
 
 #include "config/xml.h"
-#include "platform/platform_config.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -13,7 +13,8 @@
   }
   void on_collector_hello(ospreypost::ZoneId) override {}
   void on_replica_load_report(const ospreypost::ReplicaLoadReport& sum) override {
-    if (sum.failed > sum.attempts || sum.span <= ospreypost::Nanos{} || sum.mean_latency < ospreypost::Nanos{})
+    if (sum.failed > sum.attempts || sum.span <= ospreypost::Nanos{} ||
+        sum.mean_latency < ospreypost::Nanos{})
       std::abort();
     if (!sum.load.empty() && (sum.load.size() != 2 || !(sum.load[0] >= 0) || !(sum.load[1] >= 0)))
       std::abort();
--- a/fuzz/report.cpp
+++ b/fuzz/report.cpp
@@ -28,7 +28,8 @@
   Deaf deaf;
   load_reports::LoadReportProcessor intake(config, deaf);
   try {
-    intake.take(std::chrono::seconds(1000), load_reports::parse_metrics({reinterpret_cast<const char*>(data), size}));
+    intake.take(std::chrono::seconds(1000),
+                load_reports::parse_metrics({reinterpret_cast<const char*>(data), size}));
   } catch (const net::Error&) {
   }
   return 0;
--- a/src/checker/invariant_checker.cpp
+++ b/src/checker/invariant_checker.cpp
@@ -136,9 +136,10 @@
     }
   }
   for (const auto& [key, since] : bare_since) count(key.first, {since, end});
-  return {"no proxy bare", worst <= limits.max_time_without_endpoints,
-          text("longest %.2f s of %.2f s allowed", seconds(worst), seconds(limits.max_time_without_endpoints)) +
-              (whose.empty() ? "" : ", " + whose)};
+  return {
+      "no proxy bare", worst <= limits.max_time_without_endpoints,
+      text("longest %.2f s of %.2f s allowed", seconds(worst), seconds(limits.max_time_without_endpoints)) +
+          (whose.empty() ? "" : ", " + whose)};
 }
 
 // Rule 2.
@@ -165,7 +166,8 @@
   std::map<std::string, std::vector<Interval>> closed;
   for (const auto& [replica, listed] : facts.lists) {
     closed[replica] = intervals(listed, [&](const Listed& l) {
-      return l.phase == EndpointPhase::draining || (l.phase == EndpointPhase::gone && !limits.only_draining_is_binding);
+      return l.phase == EndpointPhase::draining ||
+             (l.phase == EndpointPhase::gone && !limits.only_draining_is_binding);
     });
   }
   std::map<std::string, Time> first_answer;
@@ -195,9 +197,10 @@
   const Time step = (to - from) / steps;
   for (int n = 0; n < steps; ++n) {
     const Time middle = from + n * step + step / 2;
-    const double age = life.warm_up_duration > Time{} ? seconds(middle - life.at) / seconds(life.warm_up_duration) : 1;
-    done +=
-        seconds(step) * life.capacity * (life.initial_warm_up_capacity + (1 - life.initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0));
+    const double age =
+        life.warm_up_duration > Time{} ? seconds(middle - life.at) / seconds(life.warm_up_duration) : 1;
+    done += seconds(step) * life.capacity *
+            (life.initial_warm_up_capacity + (1 - life.initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0));
   }
   return done;
 }
@@ -257,7 +260,8 @@
     // Chance: an operation more or less than the budget is no fall.
     const double slack = 2 * arrived.work_seconds;
     const Time from = std::max(life.at, arrived.at - limits.overload_duration);
-    worst = std::max(worst, std::max(0.0, work - slack) / could_do(life, from, from + limits.overload_duration));
+    worst =
+        std::max(worst, std::max(0.0, work - slack) / could_do(life, from, from + limits.overload_duration));
   }
   return worst;
 }
@@ -377,4 +381,4 @@
   return earned;
 }
 
-}  // namespace ospreypost::judge
+}  // namespace ospreypost::checker
--- a/src/checker/invariant_checker.h
+++ b/src/checker/invariant_checker.h
@@ -53,4 +53,4 @@
 // For each whole second from `begin`, the worth that was answered in time, of that asked for then.
 std::vector<double> service_by_second(const Trace& trace, const Limits& limits, Time begin, Time end);
 
-}  // namespace ospreypost::judge
+}  // namespace ospreypost::checker
--- a/src/checker/trace.h
+++ b/src/checker/trace.h
@@ -108,4 +108,4 @@
   std::mutex lock_;
 };
 
-}  // namespace ospreypost::judge
+}  // namespace ospreypost::checker
--- a/src/cli/logging.cpp
+++ b/src/cli/logging.cpp
@@ -31,7 +31,7 @@
     sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(settings.path);
   }
   auto log = std::make_shared<spdlog::logger>(governor, sink);
-  log->set_admitted_fraction(spdlog::level::from_str(settings.level));
+  log->set_level(spdlog::level::from_str(settings.level));
   auto formatter = std::make_unique<spdlog::pattern_formatter>();
   if (settings.json) {
     formatter->add_flag<Quoted>('*').set_pattern(
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -7,12 +7,12 @@
 
 #include "cli/commands.h"
 #include "config/config.h"
-#include "scenario/scenario.h"
 #include "net/socket.h"
 #include "record/edit.h"
 #include "replay/anonymise.h"
 #include "replay/export_day.h"
 #include "replay/history.h"
+#include "scenario/scenario.h"
 #include "terms/deployment.h"
 
 namespace ospreypost::cli {
@@ -33,7 +33,8 @@
 Nanos time_of(const std::string& text, const char* option) {
   const auto time = config::parse_duration(text);
   if (!time)
-    throw config::ConfigError(std::string(option) + " takes a time since the record's beginning, such as '90 s'");
+    throw config::ConfigError(std::string(option) +
+                              " takes a time since the record's beginning, such as '90 s'");
   return *time;
 }
 
--- a/src/cli/what_if.cpp
+++ b/src/cli/what_if.cpp
@@ -11,8 +11,8 @@
 #include "record/reader.h"
 #include "replay/history.h"
 #include "report/page.h"
-#include "terms/deployment.h"
 #include "simulation/answer.h"
+#include "terms/deployment.h"
 
 namespace ospreypost::cli {
 namespace {
@@ -76,9 +76,10 @@
 
 nlohmann::json json_of(const simulation::History& history, const simulation::Deployment& recorded,
                        const simulation::Fleet& fleet) {
-  nlohmann::json json = {{"variation", fleet.variation},          {"cold-share", fleet.initial_warm_up_capacity},
-                         {"cold-seen", fleet.cold_seen},          {"cores-seen", fleet.cores_seen},
-                         {"push-time", seconds(fleet.push_time)}, {"unseen", fleet.unseen}};
+  nlohmann::json json = {
+      {"variation", fleet.variation},          {"cold-share", fleet.initial_warm_up_capacity},
+      {"cold-seen", fleet.cold_seen},          {"cores-seen", fleet.cores_seen},
+      {"push-time", seconds(fleet.push_time)}, {"unseen", fleet.unseen}};
   for (std::size_t k = 0; k < fleet.work.size(); ++k)
     json["classes"][recorded.classes[k]] = {{"work", fleet.work[k]}, {"repeats", fleet.repeats[k]}};
   for (std::size_t n = 0; n < fleet.replicas.size(); ++n) {
@@ -156,7 +157,7 @@
     for (const auto& path : options.settings) {
       label = std::filesystem::path(path).stem().string();
       answers.push_back(simulation::answer(history, fitted, recorded,
-                                       terms::deployment_of(config::read_config(path)), label, asking));
+                                           terms::deployment_of(config::read_config(path)), label, asking));
     }
     if (!options.report.empty()) report::write_page(options.report, {history, error, answers});
     if (options.json) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -58,13 +58,14 @@
 ClassSettings read_class(const Element& element, const Config& config) {
   ClassSettings cls;
   cls.effect = chosen<Idempotency>(element, "effect",
-                              {{"idempotent", Idempotency::idempotent},
-                               {"deduplicated", Idempotency::deduplicated},
-                               {"at-most-once", Idempotency::at_most_once}});
+                                   {{"idempotent", Idempotency::idempotent},
+                                    {"deduplicated", Idempotency::deduplicated},
+                                    {"at-most-once", Idempotency::at_most_once}});
   cls.latency_objective = element.time("target-time");
   cls.request_deadline = element.time("abandon-time");
   if (cls.latency_objective <= Nanos{}) element.fail("target-time must be above 0");
-  if (cls.request_deadline < cls.latency_objective) element.fail("abandon-time must not be below target-time");
+  if (cls.request_deadline < cls.latency_objective)
+    element.fail("abandon-time must not be below target-time");
   cls.priority_weight = element.number("payoff");
   cls.late_priority_weight = element.number("late-payoff");
   cls.same_zone_only = element.yes("home-only");
@@ -114,9 +115,9 @@
   auto& settings = config.settings;
   settings.proxies = config.proxies.known.size();
   settings.min_replica_connections = element.number("connections-least");
-  settings.picking =
-      chosen<PickingPolicy>(element, "picking",
-                      {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
+  settings.picking = chosen<PickingPolicy>(
+      element, "picking",
+      {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
   settings.admission = chosen<AdmissionMode>(
       element, "admission",
       {{"share", AdmissionMode::share}, {"rate", AdmissionMode::rate}, {"ignored", AdmissionMode::ignored}});
@@ -132,9 +133,10 @@
   auto& settings = config.settings;
   settings.report_interval = element.time("every");
   if (settings.report_interval <= Nanos{}) element.fail("every must be above 0");
-  settings.reporting = chosen<ReportingMode>(
-      element, "load",
-      {{"none", ReportingMode::none}, {"in-sums", ReportingMode::in_load_reports}, {"by-probe", ReportingMode::by_health_check}});
+  settings.reporting = chosen<ReportingMode>(element, "load",
+                                             {{"none", ReportingMode::none},
+                                              {"in-sums", ReportingMode::in_load_reports},
+                                              {"by-probe", ReportingMode::by_health_check}});
   settings.health_checks_allowed = settings.reporting == ReportingMode::by_health_check;
   for (const auto& name : element.words("columns")) settings.load_columns.push_back(column(name));
 }
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -14,47 +14,49 @@
 
 }  // namespace
 
-ControlPlane::ControlPlane(const config::Config& config, ControlPlaneHost& world, ControllerDriver::Clock clock, routing_state::LeaseTable claims,
+ControlPlane::ControlPlane(const config::Config& config, ControlPlaneHost& world,
+                           ControllerDriver::Clock clock, routing_state::LeaseTable claims,
                            record::Writer* record)
     : config_(config),
       world_(world),
-      clients_(config::client_limits(config)),
-      handouts_({config.settings.message_overhead_entries, config.settings.max_messages_per_window,
-                 config.settings.message_window}),
+      ttl_policy_(config::client_limits(config)),
+      pull_delivery_({config.settings.message_overhead_entries, config.settings.max_messages_per_window,
+                      config.settings.message_window}),
       // A withdrawal must be confirmed while there is time left to say that it was not: the next look, and a
       // push that just fails.
-      pushes_({config.settings.message_overhead_entries, config.settings.channel_entries_per_second,
-               config.settings.max_messages_per_window, config.settings.message_window,
-               config.settings.drain_grace - 2 * kSweep - config.roll.every, config.files.renew}),
-      claims_(std::move(claims)),
-      desk_({config::module_settings(config), config.seed, {}, record, config.text}, std::move(clock),
-            static_cast<ControllerFrontend&>(*this)) {
+      push_scheduler_({config.settings.message_overhead_entries, config.settings.channel_entries_per_second,
+                       config.settings.max_messages_per_window, config.settings.message_window,
+                       config.settings.drain_grace - 2 * kSweep - config.roll.every, config.files.renew}),
+      lease_table_(std::move(claims)),
+      driver_({config::module_settings(config), config.seed, {}, record, config.text}, std::move(clock),
+              static_cast<ControllerFrontend&>(*this)) {
   for (std::size_t p = 0; p < config.proxies.known.size(); ++p) {
     const ProxyId id{static_cast<std::uint16_t>(p)};
-    config.proxies.known[p].is_pushed_to() ? pushes_.introduce(desk_.now(), id)
-                                           : clients_.introduce(id, config.proxies.known[p].vouched);
+    config.proxies.known[p].is_pushed_to() ? push_scheduler_.add_known(driver_.now(), id)
+                                           : ttl_policy_.add_known(id, config.proxies.known[p].vouched);
   }
-  desk_.open([this] { sweep(); }, kSweep);
+  driver_.start([this] { sweep(); }, kSweep);
 }
 
 ControlPlane::~ControlPlane() { stop(); }
 
-void ControlPlane::ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
-                           const std::vector<std::pair<AckRequestId, bool>>& marks) {
+void ControlPlane::on_published(Nanos now,
+                                const std::optional<routing_state::RoutingState::Published>& published,
+                                const std::vector<std::pair<AckRequestId, bool>>& marks) {
   const bool out_changed = std::exchange(out_changed_, false);
   if (out_changed) publish_out(now);
   if (published) {
-    const std::lock_guard held(handouts_lock_);
+    const std::lock_guard held(delivery_lock_);
     for (const auto& pending : published->pending) {
-      auto holding = published->version->holding_of(pending.proxy);
+      auto proxy_snapshot = published->version->snapshot_of(pending.proxy);
       if (entry_of(pending.proxy).is_pushed_to()) {
-        pushes_.ordered(now, pending.proxy, std::move(holding), pending.lines);
+        push_scheduler_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.lines);
       } else {
-        handouts_.ordered(now, pending.proxy, std::move(holding), pending.lines);
+        pull_delivery_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.lines);
       }
     }
   }
-  if (auto* pusher = pusher_.load(); pusher && (published || out_changed)) pusher->something_ordered();
+  if (auto* pusher = pusher_.load(); pusher && (published || out_changed)) pusher->on_push_available();
   const auto standing = published ? published->version : version_;
   if (published) {
     const std::lock_guard held(shared_lock_);
@@ -62,8 +64,8 @@
   }
   for (const auto& [mark, reach_all] : marks) {
     const auto by = standing->marked(reach_all);
-    const std::lock_guard held(handouts_lock_);
-    handouts_.request_acknowledgement(now, mark, standing->number, by);
+    const std::lock_guard held(delivery_lock_);
+    pull_delivery_.request_acknowledgement(now, mark, standing->number, by);
   }
 }
 
@@ -81,21 +83,21 @@
     const std::lock_guard held(shared_lock_);
     out_ = std::move(names);
   }
-  const std::lock_guard held(handouts_lock_);
-  pushes_.out(now, std::move(out));
+  const std::lock_guard held(delivery_lock_);
+  push_scheduler_.on_ejected(now, std::move(out));
 }
 
 // For clients that fell silent, and pushes that nobody answers.
 void ControlPlane::sweep() {
-  const auto now = desk_.now();
+  const auto now = driver_.now();
   std::vector<ProxyId> silent;
   {
     const std::lock_guard clients(clients_lock_);
-    silent = clients_.silent(now);
+    silent = ttl_policy_.take_silent(now);
   }
   {
-    const std::lock_guard handouts(handouts_lock_);
-    const auto lost = pushes_.lost(now);
+    const std::lock_guard handouts(delivery_lock_);
+    const auto lost = push_scheduler_.take_lost(now);
     silent.insert(silent.end(), lost.begin(), lost.end());
   }
   for (const auto proxy : silent) settle(proxy);
@@ -103,12 +105,13 @@
 
 // --- The list
 
-void ControlPlane::note_places(const discovery::EndpointList::Taken& taken) {
+void ControlPlane::note_places(const discovery::EndpointList::Changes& taken) {
   auto next = std::make_shared<delivery::EndpointDirectory>(*directory_);
   for (const auto& change : taken.changes) {
     const auto id = replicas_.id_of(change.name);
     const auto at = static_cast<std::size_t>(id);
-    if (next->replicas.size() <= at) next->replicas.resize(at + 1), phases_.resize(at + 1, EndpointPhase::gone);
+    if (next->replicas.size() <= at)
+      next->replicas.resize(at + 1), phases_.resize(at + 1, EndpointPhase::gone);
     next->by_name[change.name] = id;
     auto& place = next->replicas[at];
     place.name = change.name;
@@ -121,11 +124,11 @@
   directory_ = std::move(next);
 }
 
-void ControlPlane::on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) {
+void ControlPlane::on_endpoint_list_changed(const discovery::EndpointList::Changes& taken) {
   const auto position = [](const std::vector<std::string>& names, const std::string& name) {
     return static_cast<std::uint16_t>(std::find(names.begin(), names.end(), name) - names.begin());
   };
-  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+  driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
     const auto before = replicas_.size();
     note_places(taken);
     std::vector<EndpointUpdate> entries;
@@ -144,116 +147,121 @@
       }
       entries.push_back(entry);
     }
-    governor.on_endpoint_list(now, taken.first ? EndpointListKind::cached : EndpointListKind::changes, entries);
+    governor.on_endpoint_list(now, taken.first ? EndpointListKind::cached : EndpointListKind::changes,
+                              entries);
   });
 }
 
 void ControlPlane::list_failed() {
-  desk_.call([](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_endpoint_list_failed(now); });
+  driver_.call([](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+    governor.on_endpoint_list_failed(now);
+  });
 }
 
 // --- Reports
 
 void ControlPlane::on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) {
-  desk_.call(
-      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_replica_load_report(now, sum, origin); });
+  driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+    governor.on_replica_load_report(now, sum, origin);
+  });
 }
 
 void ControlPlane::on_demand_report(const DemandReport& demand, const record::Origin& origin) {
-  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+  driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
     governor.on_demand_report(now, demand, origin);
   });
 }
 
 void ControlPlane::reported(ProxyId proxy) {
   const std::lock_guard held(clients_lock_);
-  clients_.reported(desk_.now(), proxy);
+  ttl_policy_.on_report(driver_.now(), proxy);
 }
 
 void ControlPlane::on_health_check_result(const HealthCheckResult& answer) {
-  desk_.call(
-      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_health_check_result(now, answer); });
+  driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+    governor.on_health_check_result(now, answer);
+  });
 }
 
 // --- Fronts
 
 bool ControlPlane::is_held(ProxyId proxy) const {
   if (entry_of(proxy).is_pushed_to()) {
-    const std::lock_guard held(handouts_lock_);
-    return pushes_.held(proxy);
+    const std::lock_guard held(delivery_lock_);
+    return push_scheduler_.is_held(proxy);
   }
   const std::lock_guard held(clients_lock_);
-  return clients_.held(proxy);
+  return ttl_policy_.is_held(proxy);
 }
 
 void ControlPlane::settle(ProxyId proxy) {
   const auto& known = entry_of(proxy);
-  desk_.call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos now) {
+  driver_.call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos now) {
     const bool held = is_held(proxy);
     if (held == joined_.contains(proxy)) {
       // It was given up on and answered again before anybody here noticed: what stands is still to be sent.
-      const auto holding = held && known.is_pushed_to() ? version_->holding_of(proxy) : nullptr;
-      if (!holding) return;
-      const std::lock_guard handouts(handouts_lock_);
-      pushes_.ordered(now, proxy, holding, routing_state::size_of(*holding));
+      const auto proxy_snapshot = held && known.is_pushed_to() ? version_->snapshot_of(proxy) : nullptr;
+      if (!proxy_snapshot) return;
+      const std::lock_guard handouts(delivery_lock_);
+      push_scheduler_.on_published(now, proxy, proxy_snapshot, routing_state::size_of(*proxy_snapshot));
       return;
     }
     world_.log((held ? "join " : "leave ") + known.name, version_->number);
     if (held) {
       joined_.insert(proxy);
-      book.joined(proxy);
+      book.add_proxy(proxy);
       {
-        const std::lock_guard handouts(handouts_lock_);
-        handouts_.joined(now, proxy);
+        const std::lock_guard handouts(delivery_lock_);
+        pull_delivery_.add_proxy(now, proxy);
       }
       governor.on_proxy_joined(now, proxy, known.zone, known.usual_rate, true);
     } else {
       joined_.erase(proxy);
       governor.on_proxy_left(now, proxy);
-      book.left(proxy);
-      const std::lock_guard handouts(handouts_lock_);
-      handouts_.left(proxy);
+      book.remove_proxy(proxy);
+      const std::lock_guard handouts(delivery_lock_);
+      pull_delivery_.remove_proxy(proxy);
     }
   });
 }
 
-delivery::PullAnswer ControlPlane::asked(ProxyId proxy, ClassId cls) {
+delivery::PullAnswer ControlPlane::on_query(ProxyId proxy, ClassId cls) {
   delivery::PullAnswer told;
-  const auto now = desk_.now();
+  const auto now = driver_.now();
   {
     const std::lock_guard held(clients_lock_);
-    told.verdict = clients_.asked(now, proxy, cls);
+    told.ttl_decision = ttl_policy_.on_query(now, proxy, cls);
   }
-  if (told.verdict.joins || told.verdict.leaves) settle(proxy);
+  if (told.ttl_decision.joins || told.ttl_decision.leaves) settle(proxy);
   told.directory = directory();
-  if (told.verdict.service != dns::ClientService::replicas) {
+  if (told.ttl_decision.service != dns::ClientService::replicas) {
     told.entries = entries_for(std::nullopt, proxy);
     return told;
   }
   std::vector<routing_state::PullDelivery::Reached> reached;
   {
-    const std::lock_guard held(handouts_lock_);
-    told.holding = handouts_.take(now, proxy);
-    reached = handouts_.reached(now, proxy);
+    const std::lock_guard held(delivery_lock_);
+    told.proxy_snapshot = pull_delivery_.take_answer(now, proxy);
+    reached = pull_delivery_.take_acknowledged(now, proxy);
   }
   for (const auto& mark : reached) {
-    desk_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
       governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
     });
   }
   return told;
 }
 
-delivery::PullAnswer ControlPlane::asked_zone(ZoneId zone) {
+delivery::PullAnswer ControlPlane::on_zone_query(ZoneId zone) {
   delivery::PullAnswer told;
-  told.verdict.service = dns::ClientService::proxies;
+  told.ttl_decision.service = dns::ClientService::proxies;
   told.directory = directory();
   told.entries = entries_for(zone, std::nullopt);
   return told;
 }
 
 std::vector<delivery::FallbackProxy> ControlPlane::entries_for(std::optional<ZoneId> zone,
-                                                    std::optional<ProxyId> but) const {
+                                                               std::optional<ProxyId> but) const {
   std::vector<delivery::FallbackProxy> entries;
   for (std::size_t p = 0; p < config_.proxies.known.size(); ++p) {
     const auto& known = config_.proxies.known[p];
@@ -266,39 +274,40 @@
   return entries;
 }
 
-std::optional<delivery::PushMessage> ControlPlane::next_push() {
+std::optional<delivery::PushMessage> ControlPlane::take_push() {
   std::optional<routing_state::PendingPush> offer;
   {
-    const std::lock_guard held(handouts_lock_);
-    offer = pushes_.next(desk_.now());
+    const std::lock_guard held(delivery_lock_);
+    offer = push_scheduler_.take_push(driver_.now());
   }
   if (!offer) return std::nullopt;
-  delivery::PushMessage push{offer->proxy, offer->holding, directory(), {}, offer->recall, 0, claims_.owner()};
+  delivery::PushMessage push{offer->proxy,        offer->proxy_snapshot, directory(), {}, offer->recall, 0,
+                             lease_table_.owner()};
   {
-    const std::lock_guard held(handouts_lock_);
-    push.epoch = claims_.epoch(offer->proxy);
+    const std::lock_guard held(delivery_lock_);
+    push.epoch = lease_table_.epoch(offer->proxy);
   }
   const std::lock_guard held(shared_lock_);
   push.out = out_;
   return push;
 }
 
-std::optional<Nanos> ControlPlane::push_due_in() {
-  const std::lock_guard held(handouts_lock_);
-  const auto now = desk_.now();
-  const auto at = pushes_.wake(now);
+std::optional<Nanos> ControlPlane::next_push_in() {
+  const std::lock_guard held(delivery_lock_);
+  const auto now = driver_.now();
+  const auto at = push_scheduler_.next_wake_up(now);
   return at ? std::optional(std::max<Nanos>(*at - now, Nanos{})) : std::nullopt;
 }
 
-void ControlPlane::push_taken(ProxyId proxy, routing_state::SnapshotVersion since) {
-  const std::lock_guard held(handouts_lock_);
-  pushes_.taken(desk_.now(), proxy, since);
+void ControlPlane::on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion since) {
+  const std::lock_guard held(delivery_lock_);
+  push_scheduler_.on_confirmed(driver_.now(), proxy, since);
   push_faults_.erase(proxy);
 }
 
-void ControlPlane::push_failed(ProxyId proxy, const std::string& why) {
-  const std::lock_guard held(handouts_lock_);
-  pushes_.failed(desk_.now(), proxy);
+void ControlPlane::on_push_failed(ProxyId proxy, const std::string& why) {
+  const std::lock_guard held(delivery_lock_);
+  push_scheduler_.on_failed(driver_.now(), proxy);
   note_fault(proxy, why);
 }
 
@@ -310,22 +319,22 @@
 }
 
 // Whoever the list never named, or names no more, is out. With the handouts' lock held.
-void ControlPlane::note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& instead) {
+void ControlPlane::note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& rolled_back_to) {
   const auto known = directory();
   std::set<ReplicaId> replicas;
-  for (const auto& name : instead) {
+  for (const auto& name : rolled_back_to) {
     const auto at = known->by_name.find(name);
     replicas.insert(at == known->by_name.end() ? kNobody : at->second);
   }
-  pushes_.went_back(now, proxy, std::move(replicas));
+  push_scheduler_.on_rollback(now, proxy, std::move(replicas));
 }
 
-void ControlPlane::push_went_back(ProxyId proxy, const std::vector<std::string>& instead) {
+void ControlPlane::on_rollback(ProxyId proxy, const std::vector<std::string>& rolled_back_to) {
   {
-    const std::lock_guard held(handouts_lock_);
-    note_way_back(desk_.now(), proxy, instead);
+    const std::lock_guard held(delivery_lock_);
+    note_way_back(driver_.now(), proxy, rolled_back_to);
   }
-  if (auto* pusher = pusher_.load()) pusher->something_ordered();
+  if (auto* pusher = pusher_.load()) pusher->on_push_available();
 }
 
 std::vector<std::string> ControlPlane::out() const {
@@ -335,26 +344,26 @@
 
 // False if it goes on as ours; else it joins or leaves by what was met. With the handouts' lock held.
 bool ControlPlane::changes_hands(Nanos now, ProxyId proxy, const routing_state::RemoteState& met) {
-  switch (claims_.met(proxy, met)) {
-    case routing_state::LeaseTable::ControlPlaneStatus::ours:
+  switch (lease_table_.observe(proxy, met)) {
+    case routing_state::LeaseTable::Standing::ours:
       break;
-    case routing_state::LeaseTable::ControlPlaneStatus::claimed:
-      pushes_.joined(now, proxy, !met.any);
+    case routing_state::LeaseTable::Standing::claimed:
+      push_scheduler_.on_joined(now, proxy, !met.any);
       return true;
-    case routing_state::LeaseTable::ControlPlaneStatus::theirs:
-      pushes_.refused(now, proxy);
+    case routing_state::LeaseTable::Standing::theirs:
+      push_scheduler_.on_rejected(now, proxy);
       note_fault(proxy, "it follows " + met.owner);
       return true;
   }
   return false;
 }
 
-void ControlPlane::push_refused(ProxyId proxy, const routing_state::RemoteState& met) {
+void ControlPlane::on_push_rejected(ProxyId proxy, const routing_state::RemoteState& met) {
   {
-    const std::lock_guard held(handouts_lock_);
-    const auto now = desk_.now();
+    const std::lock_guard held(delivery_lock_);
+    const auto now = driver_.now();
     if (!changes_hands(now, proxy, met)) {
-      pushes_.failed(now, proxy);
+      push_scheduler_.on_failed(now, proxy);
       note_fault(proxy, "it holds something newer");
       return;
     }
@@ -362,13 +371,13 @@
   settle(proxy);
 }
 
-void ControlPlane::push_met(ProxyId proxy, const routing_state::RemoteState& met) {
+void ControlPlane::on_remote_state(ProxyId proxy, const routing_state::RemoteState& met) {
   {
-    const std::lock_guard held(handouts_lock_);
-    const auto now = desk_.now();
+    const std::lock_guard held(delivery_lock_);
+    const auto now = driver_.now();
     const auto version = met.any ? std::optional(met.version) : std::nullopt;
-    if (!changes_hands(now, proxy, met) && !pushes_.met(now, proxy, version)) {
-      note_way_back(now, proxy, met.instead);
+    if (!changes_hands(now, proxy, met) && !push_scheduler_.on_liveness(now, proxy, version)) {
+      note_way_back(now, proxy, met.rolled_back_to);
       return;
     }
   }
@@ -394,13 +403,13 @@
 
 ControlPlaneStatus ControlPlane::standing() const {
   ControlPlaneStatus standing;
-  desk_.look([&] {
+  driver_.inspect([&] {
     standing.version = version_;
     standing.directory = directory_;
     standing.phases = phases_;
-    const std::lock_guard handouts(handouts_lock_);
-    standing.counts = handouts_.counts();
-    standing.pushes = pushes_.counts();
+    const std::lock_guard handouts(delivery_lock_);
+    standing.counts = pull_delivery_.counts();
+    standing.pushes = push_scheduler_.counts();
     for (std::size_t p = 0; p < config_.proxies.known.size(); ++p)
       standing.joined.push_back(joined_.contains(ProxyId{static_cast<std::uint16_t>(p)}));
   });
@@ -409,14 +418,16 @@
 
 // --- What else the module asks for
 
-void ControlPlane::withdrawn(ReplicaId replica, bool out) {
+void ControlPlane::on_ejection_changed(ReplicaId replica, bool out) {
   out ? void(withdrawn_.insert(replica)) : void(withdrawn_.erase(replica));
   out_changed_ = true;
 }
 // The roll is watched all the time; its news comes by itself.
 void ControlPlane::watch_endpoint_list(bool) {}
 void ControlPlane::refresh_endpoint_list() { world_.refresh_endpoint_list(); }
-void ControlPlane::request_health_check(ReplicaId replica) { world_.request_health_check(replica, directory_->place(replica).address); }
+void ControlPlane::request_health_check(ReplicaId replica) {
+  world_.request_health_check(replica, directory_->place(replica).address);
+}
 // There are no peers yet.
 void ControlPlane::send_to_peer(std::optional<PeerId>, std::string_view) {}
 void ControlPlane::log(std::string_view line) {
@@ -426,4 +437,4 @@
   world_.log(with_name(line, name_of), version_->number);
 }
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -10,16 +10,16 @@
 #include <string>
 #include <vector>
 
-#include "routing_state/lease_table.h"
-#include "routing_state/pull_delivery.h"
-#include "routing_state/push_scheduler.h"
 #include "config/config.h"
-#include "delivery/delivery_service.h"
 #include "control_plane/controller_driver.h"
-#include "dns/client_ttl_policy.h"
+#include "delivery/delivery_service.h"
 #include "discovery/endpoint_list.h"
 #include "discovery/name_table.h"
+#include "dns/client_ttl_policy.h"
 #include "policy/controller.h"
+#include "routing_state/lease_table.h"
+#include "routing_state/pull_delivery.h"
+#include "routing_state/push_scheduler.h"
 
 namespace ospreypost::control_plane {
 
@@ -38,7 +38,7 @@
   std::shared_ptr<const delivery::EndpointDirectory> directory;
   routing_state::PullDelivery::Counts counts;
   routing_state::PushScheduler::Counts pushes;
-  std::vector<bool> joined;   // by proxy
+  std::vector<bool> joined;           // by proxy
   std::vector<EndpointPhase> phases;  // by replica, as listed
 };
 
@@ -47,10 +47,10 @@
   ControlPlane(const config::Config& config, ControlPlaneHost& world, ControllerDriver::Clock clock,
                routing_state::LeaseTable claims = {1, "governor"}, record::Writer* record = nullptr);
   ~ControlPlane() override;
-  void stop() { desk_.stop(); }
+  void stop() { driver_.stop(); }
 
   // The list, from one source. The replicas' kinds and zones must be known to the configuration.
-  void on_endpoint_list_changed(const discovery::EndpointList::Taken& taken);
+  void on_endpoint_list_changed(const discovery::EndpointList::Changes& taken);
   void list_failed();
 
   // Reports, already told apart by their spans.
@@ -59,15 +59,15 @@
   void reported(ProxyId proxy);  // a report came, whatever was in it
   void on_health_check_result(const HealthCheckResult& answer);
 
-  delivery::PullAnswer asked(ProxyId proxy, ClassId cls) override;
-  delivery::PullAnswer asked_zone(ZoneId zone) override;
-  std::optional<delivery::PushMessage> next_push() override;
-  std::optional<Nanos> push_due_in() override;
-  void push_taken(ProxyId proxy, routing_state::SnapshotVersion since) override;
-  void push_failed(ProxyId proxy, const std::string& why) override;
-  void push_refused(ProxyId proxy, const routing_state::RemoteState& met) override;
-  void push_met(ProxyId proxy, const routing_state::RemoteState& met) override;
-  void push_went_back(ProxyId proxy, const std::vector<std::string>& instead) override;
+  delivery::PullAnswer on_query(ProxyId proxy, ClassId cls) override;
+  delivery::PullAnswer on_zone_query(ZoneId zone) override;
+  std::optional<delivery::PushMessage> take_push() override;
+  std::optional<Nanos> next_push_in() override;
+  void on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion since) override;
+  void on_push_failed(ProxyId proxy, const std::string& why) override;
+  void on_push_rejected(ProxyId proxy, const routing_state::RemoteState& met) override;
+  void on_remote_state(ProxyId proxy, const routing_state::RemoteState& met) override;
+  void on_rollback(ProxyId proxy, const std::vector<std::string>& rolled_back_to) override;
   // Whom nobody may send to now, by name.
   std::vector<std::string> out() const;
   // Told of orders from then on; null: nobody. It must outlive that.
@@ -78,9 +78,9 @@
   ControlPlaneStatus standing() const;
 
  private:
-  void ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
-               const std::vector<std::pair<AckRequestId, bool>>& marks) override;
-  void withdrawn(ReplicaId replica, bool out) override;
+  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+                    const std::vector<std::pair<AckRequestId, bool>>& marks) override;
+  void on_ejection_changed(ReplicaId replica, bool out) override;
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool on) override;
   void refresh_endpoint_list() override;
@@ -94,12 +94,13 @@
   const config::ProxyEntry& entry_of(ProxyId proxy) const {
     return config_.proxies.known[static_cast<std::size_t>(proxy)];
   }
-  void note_places(const discovery::EndpointList::Taken& taken);
+  void note_places(const discovery::EndpointList::Changes& taken);
   bool changes_hands(Nanos now, ProxyId proxy, const routing_state::RemoteState& met);
-  void note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& instead);
+  void note_way_back(Nanos now, ProxyId proxy, const std::vector<std::string>& rolled_back_to);
   void note_fault(ProxyId proxy, const std::string& why);
   void sweep();
-  std::vector<delivery::FallbackProxy> entries_for(std::optional<ZoneId> zone, std::optional<ProxyId> but) const;
+  std::vector<delivery::FallbackProxy> entries_for(std::optional<ZoneId> zone,
+                                                   std::optional<ProxyId> but) const;
 
   const config::Config& config_;
   ControlPlaneHost& world_;
@@ -114,20 +115,22 @@
 
   // What fronts read without that lock; each held for a few instructions. Order: the desk's before these.
   mutable std::mutex clients_lock_;
-  dns::ClientTtlPolicy clients_;
-  mutable std::mutex handouts_lock_;
-  routing_state::PullDelivery handouts_;
-  routing_state::PushScheduler pushes_;
-  routing_state::LeaseTable claims_;
+  dns::ClientTtlPolicy ttl_policy_;
+  mutable std::mutex delivery_lock_;
+  routing_state::PullDelivery pull_delivery_;
+  routing_state::PushScheduler push_scheduler_;
+  routing_state::LeaseTable lease_table_;
   std::map<ProxyId, std::string> push_faults_;
   std::atomic<delivery::PushListener*> pusher_ = nullptr;
   mutable std::mutex shared_lock_;
-  std::shared_ptr<const routing_state::RoutingSnapshot> version_ = std::make_shared<routing_state::RoutingSnapshot>();
-  std::shared_ptr<const delivery::EndpointDirectory> directory_ = std::make_shared<delivery::EndpointDirectory>();
+  std::shared_ptr<const routing_state::RoutingSnapshot> version_ =
+      std::make_shared<routing_state::RoutingSnapshot>();
+  std::shared_ptr<const delivery::EndpointDirectory> directory_ =
+      std::make_shared<delivery::EndpointDirectory>();
   std::vector<std::string> out_;
 
   // The last one: the module acts on all of the above from its first moment.
-  ControllerDriver desk_;
+  ControllerDriver driver_;
 };
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/control_plane_server.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -26,17 +26,19 @@
     : config_(config), log_(std::move(log)), complaints_(log_, kComplainEvery) {
   // No other process has this name and moment; where the clock went back, claims go above what they meet.
   const routing_state::LeaseTable claims(static_cast<std::uint64_t>(wall_now() / 1s),
-                            config_.name + "." + std::to_string(wall_now().count()));
+                                         config_.name + "." + std::to_string(wall_now().count()));
   if (config_.record.keep) {
-    record_ =
-        std::make_unique<record::Writer>(record::RetentionPolicy{config_.record.folder, config_.record.most_bytes,
-                                                         config_.record.file_bytes, config_.record.file_age});
+    record_ = std::make_unique<record::Writer>(
+        record::RetentionPolicy{config_.record.folder, config_.record.most_bytes, config_.record.file_bytes,
+                                config_.record.file_age});
   }
-  live_ = std::make_unique<ControlPlane>(config_, static_cast<ControlPlaneHost&>(*this), now, claims, record_.get());
-  intake_ = std::make_unique<load_reports::LoadReportProcessor>(config_, static_cast<load_reports::LoadReportListener&>(*this));
+  live_ = std::make_unique<ControlPlane>(config_, static_cast<ControlPlaneHost&>(*this), now, claims,
+                                         record_.get());
+  intake_ = std::make_unique<load_reports::LoadReportProcessor>(
+      config_, static_cast<load_reports::LoadReportListener&>(*this));
   responder_ = std::make_unique<dns::Responder>(config_, *live_);
   probers_ = std::make_unique<net::ThreadPool>("prober", kProbers, kProbesWaiting);
-  const auto complain = [this](const std::string& what) { this->complain(what); };
+  const auto complain = [this](const std::string& what) { this->log_peer_error(what); };
   dns_ = std::make_unique<dns::Server>(config_.dns, *responder_, config_.seed, complain);
   http::Limits limits;
   limits.most_body_bytes = config_.reports.most_bytes;
@@ -45,7 +47,8 @@
       [this](const http::Request& request) { return answer(request); }, complain);
   pusher_ = std::make_unique<files::Pusher>(config_, *live_);
   live_->tell_orders_to(pusher_.get());
-  roll_ = std::make_unique<discovery::EndpointFileSource>(config_, static_cast<discovery::EndpointSourceListener&>(*this), now);
+  roll_ = std::make_unique<discovery::EndpointFileSource>(
+      config_, static_cast<discovery::EndpointSourceListener&>(*this), now);
 }
 
 // Whoever calls in ends before what it calls.
@@ -91,11 +94,11 @@
   log_->info("{} version={}", line, static_cast<std::uint64_t>(version));
 }
 
-void ControlPlaneServer::on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) {
+void ControlPlaneServer::on_endpoint_list_changed(const discovery::EndpointList::Changes& taken) {
   for (const auto& change : taken.changes) {
     const char* phase = change.phase == EndpointPhase::ready      ? "ready"
                         : change.phase == EndpointPhase::draining ? "draining"
-                                                          : "gone";
+                                                                  : "gone";
     log_->info("list replica={} phase={}", change.name, phase);
   }
   live_->on_endpoint_list_changed(taken);
@@ -103,7 +106,9 @@
 
 // No news is not a list without anybody: what was last known stands, and the module is not told of a failure
 // that it could do nothing about.
-void ControlPlaneServer::on_endpoint_list_unreadable(const std::string& why) { log_->warn("no news of the list: {}", why); }
+void ControlPlaneServer::on_endpoint_list_unreadable(const std::string& why) {
+  log_->warn("no news of the list: {}", why);
+}
 
 std::optional<ReplicaId> ControlPlaneServer::find_replica(std::string_view name) const {
   return live_->find_replica(name);
@@ -123,7 +128,7 @@
   }
   const auto outcome = intake_->take(wall_now(), reports);
   const auto refused = outcome.repeated + outcome.too_old + outcome.malformed + outcome.unknown;
-  if (outcome.unknown > 0) complain("reports about proxies, replicas or classes that nobody knows");
+  if (outcome.unknown > 0) log_peer_error("reports about proxies, replicas or classes that nobody knows");
   json body = json::object();
   if (refused > 0) {
     body["partialSuccess"] = {
@@ -180,4 +185,4 @@
   return {200, "application/json", *body, std::nullopt, true};
 }
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/control_plane_server.h
+++ b/src/control_plane/control_plane_server.h
@@ -5,14 +5,14 @@
 #include <memory>
 
 #include "config/config.h"
-#include "dns/server.h"
-#include "files/pusher.h"
 #include "control_plane/control_plane.h"
 #include "control_plane/log_lines.h"
+#include "discovery/endpoint_file_source.h"
+#include "dns/server.h"
+#include "files/pusher.h"
 #include "http/http.h"
 #include "load_reports/load_report_processor.h"
 #include "record/writer.h"
-#include "discovery/endpoint_file_source.h"
 
 namespace spdlog {
 class logger;
@@ -20,7 +20,9 @@
 
 namespace ospreypost::control_plane {
 
-class ControlPlaneServer : private ControlPlaneHost, private discovery::EndpointSourceListener, private load_reports::LoadReportListener {
+class ControlPlaneServer : private ControlPlaneHost,
+                           private discovery::EndpointSourceListener,
+                           private load_reports::LoadReportListener {
  public:
   // Throws net::Error if an address cannot be had. Serves from then on.
   ControlPlaneServer(const config::Config& config, std::shared_ptr<spdlog::logger> log);
@@ -34,7 +36,7 @@
   void request_health_check(ReplicaId replica, const net::Address& at) override;
   void refresh_endpoint_list() override;
   void log(std::string_view line, routing_state::SnapshotVersion version) override;
-  void on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) override;
+  void on_endpoint_list_changed(const discovery::EndpointList::Changes& taken) override;
   void on_endpoint_list_unreadable(const std::string& why) override;
   std::optional<ReplicaId> find_replica(std::string_view name) const override;
   void on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) override {
@@ -50,7 +52,7 @@
   // /generations/PROXY, /rollback/PROXY?version=N
   http::Response answer_generations(const std::string& proxy);
   http::Response answer_rollback(const std::string& rest);
-  void complain(const std::string& what) { complaints_.add(what); }
+  void log_peer_error(const std::string& what) { complaints_.add(what); }
   void ask_load(ReplicaId replica, const net::Address& at);
 
   const config::Config config_;
@@ -68,4 +70,4 @@
   std::atomic<bool> stopped_ = false;
 };
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/controller_driver.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -10,14 +10,18 @@
 }  // namespace
 
 ControllerDriver::ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door)
-    : clock_(std::move(clock)), door_(door), gather_(start.gather), book_(start.settings.classes.size()) {
+    : clock_(std::move(clock)),
+      frontend_(door),
+      gather_(start.gather),
+      routing_state_(start.settings.classes.size()) {
   const std::lock_guard held(lock_);
-  governor_ = std::make_unique<record::RecordingController>(start.settings, start.seed, clock_(), static_cast<ActionSink&>(*this),
-                                            start.record, start.configuration);
+  governor_ = std::make_unique<record::RecordingController>(start.settings, start.seed, clock_(),
+                                                            static_cast<ActionSink&>(*this), start.record,
+                                                            start.configuration);
 }
 
-void ControllerDriver::open(std::function<void()> look, Nanos every) {
-  timekeeper_ = net::Thread("timekeeper", [this, look = std::move(look), every] { keep_time(look, every); });
+void ControllerDriver::start(std::function<void()> look, Nanos every) {
+  timekeeper_ = net::Thread("timekeeper", [this, look = std::move(look), every] { run_timers(look, every); });
 }
 
 void ControllerDriver::stop() {
@@ -30,9 +34,9 @@
 }
 
 // With the lock held, after a call.
-void ControllerDriver::touched(Nanos now) {
+void ControllerDriver::on_called(Nanos now) {
   if (gather_ <= Nanos{}) return publish(now);
-  if (publish_at_ || !(book_.changed() || withdrawn_ || !marks_.empty())) return;
+  if (publish_at_ || !(routing_state_.has_changes() || withdrawn_ || !marks_.empty())) return;
   publish_at_ = now + gather_;
   time_changed_.notify_all();
 }
@@ -40,19 +44,19 @@
 void ControllerDriver::publish(Nanos now) {
   publish_at_.reset();
   withdrawn_ = false;
-  const auto published = book_.publish(now);
-  door_.ordered(now, published, marks_);
+  const auto published = routing_state_.publish(now);
+  frontend_.on_published(now, published, marks_);
   marks_.clear();
 }
 
-void ControllerDriver::keep_time(const std::function<void()>& look, Nanos every) {
+void ControllerDriver::run_timers(const std::function<void()>& look, Nanos every) {
   std::unique_lock held(lock_);
   Nanos next_look = clock_() + every;
   while (!stopping_) {
     const auto now = clock_();
     if (const auto timer = timers_.take(now)) {
       governor_->on_timer(now, *timer);
-      touched(now);
+      on_called(now);
       continue;
     }
     if (publish_at_ && now >= *publish_at_) {
@@ -73,22 +77,27 @@
 }
 
 void ControllerDriver::set_table_entry(TableId table, ReplicaId replica, double weight) {
-  book_.set_table_entry(table, replica, weight);
+  routing_state_.set_table_entry(table, replica, weight);
+}
+void ControllerDriver::clear_table(TableId table) { routing_state_.clear_table(table); }
+void ControllerDriver::bind(ProxyId proxy, TableId table, ClassMask classes) {
+  routing_state_.bind(proxy, table, classes);
 }
-void ControllerDriver::clear_table(TableId table) { book_.clear_table(table); }
-void ControllerDriver::bind(ProxyId proxy, TableId table, ClassMask classes) { book_.bind(proxy, table, classes); }
 void ControllerDriver::set_ejected(ReplicaId replica, bool out) {
-  book_.set_ejected(replica, out);
+  routing_state_.set_ejected(replica, out);
   withdrawn_ = true;
-  door_.withdrawn(replica, out);
+  frontend_.on_ejection_changed(replica, out);
+}
+void ControllerDriver::set_admitted_fraction(TableId table, ClassMask classes, double level,
+                                             RetryMode retry) {
+  routing_state_.set_admitted_fraction(table, classes, level, retry);
 }
-void ControllerDriver::set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) {
-  book_.set_admitted_fraction(table, classes, level, retry);
+void ControllerDriver::request_acknowledgement(AckRequestId mark, bool reach_all) {
+  marks_.emplace_back(mark, reach_all);
 }
-void ControllerDriver::request_acknowledgement(AckRequestId mark, bool reach_all) { marks_.emplace_back(mark, reach_all); }
 void ControllerDriver::start_timer(Nanos from_now, TimerId timer) {
   timers_.start_timer(clock_() + from_now, timer);
   time_changed_.notify_all();
 }
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "routing_state/routing_state.h"
 #include "control_plane/timer_queue.h"
 #include "net/threads.h"
-#include "record/recording_controller.h"
 #include "policy/controller.h"
+#include "record/recording_controller.h"
+#include "routing_state/routing_state.h"
 
 namespace ospreypost::control_plane {
 
@@ -24,9 +24,9 @@
  public:
   virtual ~ControllerFrontend() = default;
   // After calls that ordered something; no version if nothing changed that anybody may use.
-  virtual void ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
-                       const std::vector<std::pair<AckRequestId, bool>>& marks) = 0;
-  virtual void withdrawn(ReplicaId replica, bool out) = 0;
+  virtual void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+                            const std::vector<std::pair<AckRequestId, bool>>& marks) = 0;
+  virtual void on_ejection_changed(ReplicaId replica, bool out) = 0;
   virtual void request_health_check(ReplicaId replica) = 0;
   virtual void watch_endpoint_list(bool on) = 0;
   virtual void refresh_endpoint_list() = 0;
@@ -48,7 +48,7 @@
   ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door);
   ~ControllerDriver() override { stop(); }
   // The module's timers run from now on; `look` is called every so often, without the lock.
-  void open(std::function<void()> look, Nanos every);
+  void start(std::function<void()> look, Nanos every);
   void stop();
 
   // Takes the lock and makes the call at the present time.
@@ -56,12 +56,12 @@
   void call(Call made) {
     const std::lock_guard held(lock_);
     const auto now = clock_();
-    made(*governor_, book_, now);
-    touched(now);
+    made(*governor_, routing_state_, now);
+    on_called(now);
   }
   // Takes the lock, for those who only look.
   template <typename Look>
-  void look(Look made) const {
+  void inspect(Look made) const {
     const std::lock_guard held(lock_);
     made();
   }
@@ -75,22 +75,24 @@
   void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override;
   void request_acknowledgement(AckRequestId mark, bool reach_all) override;
   void start_timer(Nanos from_now, TimerId timer) override;
-  void watch_endpoint_list(bool on) override { door_.watch_endpoint_list(on); }
-  void refresh_endpoint_list() override { door_.refresh_endpoint_list(); }
-  void request_health_check(ReplicaId replica) override { door_.request_health_check(replica); }
-  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override { door_.send_to_peer(peer, message); }
-  void log(std::string_view line) override { door_.log(line); }
+  void watch_endpoint_list(bool on) override { frontend_.watch_endpoint_list(on); }
+  void refresh_endpoint_list() override { frontend_.refresh_endpoint_list(); }
+  void request_health_check(ReplicaId replica) override { frontend_.request_health_check(replica); }
+  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override {
+    frontend_.send_to_peer(peer, message);
+  }
+  void log(std::string_view line) override { frontend_.log(line); }
 
-  void touched(Nanos now);
+  void on_called(Nanos now);
   void publish(Nanos now);
-  void keep_time(const std::function<void()>& look, Nanos every);
+  void run_timers(const std::function<void()>& look, Nanos every);
 
   const Clock clock_;
-  ControllerFrontend& door_;
+  ControllerFrontend& frontend_;
   const Nanos gather_;
   // Never held while anything is read or written.
   mutable std::mutex lock_;
-  routing_state::RoutingState book_;
+  routing_state::RoutingState routing_state_;
   TimerQueue timers_;
   std::vector<std::pair<AckRequestId, bool>> marks_;
   bool withdrawn_ = false;  // anybody, either way, since the last version
@@ -101,4 +103,4 @@
   net::Thread timekeeper_;
 };
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/log_lines.cpp
+++ b/src/control_plane/log_lines.cpp
@@ -29,4 +29,4 @@
   since_ = 0;
 }
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -32,4 +32,4 @@
   std::size_t since_ = 0;
 };
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/status.cpp
+++ b/src/control_plane/status.cpp
@@ -13,15 +13,15 @@
 
 json tables(const config::Config& config, const ControlPlaneStatus& standing) {
   json rows = json::array();
-  for (const auto& [proxy, holding] : standing.version->holdings) {
-    for (std::size_t k = 0; k < holding->views.size(); ++k) {
-      if (!holding->views[k]) continue;
-      for (const auto& line : holding->views[k]->lines) {
+  for (const auto& [proxy, proxy_snapshot] : standing.version->proxy_snapshots) {
+    for (std::size_t k = 0; k < proxy_snapshot->routing_tables.size(); ++k) {
+      if (!proxy_snapshot->routing_tables[k]) continue;
+      for (const auto& line : proxy_snapshot->routing_tables[k]->lines) {
         rows.push_back({{"proxy", config.proxies.known[static_cast<std::size_t>(proxy)].name},
                         {"class", config.classes[k]},
                         {"replica", standing.directory->place(line.replica).name},
                         {"weight", line.weight},
-                        {"level", holding->views[k]->terms[k].level}});
+                        {"level", proxy_snapshot->routing_tables[k]->terms[k].level}});
       }
     }
   }
@@ -42,11 +42,11 @@
   json rows = json::array();
   for (std::size_t p = 0; p < config.proxies.known.size(); ++p) {
     const auto& proxy = config.proxies.known[p];
-    const auto holding = standing.version->holding_of(ProxyId{static_cast<std::uint16_t>(p)});
+    const auto proxy_snapshot = standing.version->snapshot_of(ProxyId{static_cast<std::uint16_t>(p)});
     rows.push_back({{"proxy", proxy.name},
                     {"zone", config.zones[static_cast<std::size_t>(proxy.zone)]},
                     {"joined", static_cast<bool>(standing.joined[p])},
-                    {"version", holding ? static_cast<std::uint64_t>(holding->since) : 0}});
+                    {"version", proxy_snapshot ? static_cast<std::uint64_t>(proxy_snapshot->since) : 0}});
   }
   return rows;
 }
@@ -68,7 +68,8 @@
 }  // namespace
 
 std::optional<std::string> status_of(std::string_view target, const config::Config& config,
-                                     const ControlPlaneStatus& standing, const load_reports::ReportCounts& reports) {
+                                     const ControlPlaneStatus& standing,
+                                     const load_reports::ReportCounts& reports) {
   if (target == "/tables") return tables(config, standing).dump();
   if (target == "/replicas") return replicas(standing).dump();
   if (target == "/proxies") return proxies(config, standing).dump();
@@ -88,4 +89,4 @@
   return load;
 }
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/status.h
+++ b/src/control_plane/status.h
@@ -14,9 +14,10 @@
 
 // For /tables, /replicas, /proxies and /versions; empty for anything else.
 std::optional<std::string> status_of(std::string_view target, const config::Config& config,
-                                     const ControlPlaneStatus& standing, const load_reports::ReportCounts& reports);
+                                     const ControlPlaneStatus& standing,
+                                     const load_reports::ReportCounts& reports);
 
 // A replica's answer to a probe: {"util": 0.5, ...}. Empty if a column is missing or it is no such object.
 std::vector<float> read_load(std::string_view body, const std::vector<LoadMetric>& columns);
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/control_plane/timer_queue.h
+++ b/src/control_plane/timer_queue.h
@@ -27,4 +27,4 @@
   std::multimap<Nanos, TimerId> due_;
 };
 
-}  // namespace ospreypost::governor
+}  // namespace ospreypost::control_plane
--- a/src/delivery/delivery_service.h
+++ b/src/delivery/delivery_service.h
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "routing_state/lease_table.h"
-#include "routing_state/routing_snapshot.h"
 #include "dns/client_ttl_policy.h"
 #include "net/socket.h"
+#include "routing_state/lease_table.h"
+#include "routing_state/routing_snapshot.h"
 
 namespace ospreypost::delivery {
 
@@ -57,16 +57,18 @@
 };
 
 struct PullAnswer {
-  dns::TtlDecision verdict;
-  std::shared_ptr<const routing_state::ProxySnapshot> holding;  // null: nothing can be said now
-  std::shared_ptr<const EndpointDirectory> directory;    // never null
-  std::vector<FallbackProxy> entries;  // for clients that get proxies: those that can be held, its own zone's first
+  dns::TtlDecision ttl_decision;
+  std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;  // null: nothing can be said now
+  std::shared_ptr<const EndpointDirectory> directory;                  // never null
+  std::vector<FallbackProxy>
+      entries;  // for clients that get proxies: those that can be held, its own zone's first
 };
 
 // What is to be sent to a proxy that is pushed to.
 struct PushMessage {
   ProxyId proxy{};
-  std::shared_ptr<const routing_state::ProxySnapshot> holding;  // null: only a sign of life is asked for
+  std::shared_ptr<const routing_state::ProxySnapshot>
+      proxy_snapshot;  // null: only a sign of life is asked for
   std::shared_ptr<const EndpointDirectory> directory;
   std::vector<std::string> out;  // replicas that nobody may send to now, by name
   bool recall = false;           // in place of what somebody went back to by hand
@@ -78,7 +80,7 @@
 class PushListener {
  public:
   virtual ~PushListener() = default;
-  virtual void something_ordered() = 0;
+  virtual void on_push_available() = 0;
 };
 
 // For fronts that are asked.
@@ -86,9 +88,9 @@
  public:
   virtual ~PullService() = default;
   // A proxy asked for its table of a class.
-  virtual PullAnswer asked(ProxyId proxy, ClassId cls) = 0;
+  virtual PullAnswer on_query(ProxyId proxy, ClassId cls) = 0;
   // Somebody asked for the proxies of a zone.
-  virtual PullAnswer asked_zone(ZoneId zone) = 0;
+  virtual PullAnswer on_zone_query(ZoneId zone) = 0;
   virtual std::shared_ptr<const EndpointDirectory> directory() const = 0;
   virtual routing_state::SnapshotVersion version() const = 0;
 };
@@ -98,19 +100,19 @@
  public:
   virtual ~PushService() = default;
   // The next push that is due, if any; it is under way until one of the four below ends it.
-  virtual std::optional<PushMessage> next_push() = 0;
+  virtual std::optional<PushMessage> take_push() = 0;
   // How long until another may be due with nothing else happening; empty: never.
-  virtual std::optional<Nanos> push_due_in() = 0;
+  virtual std::optional<Nanos> next_push_in() = 0;
   // It goes by that version now.
-  virtual void push_taken(ProxyId proxy, routing_state::SnapshotVersion since) = 0;
+  virtual void on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion since) = 0;
   // Lost, not stored, or not in time.
-  virtual void push_failed(ProxyId proxy, const std::string& why) = 0;
+  virtual void on_push_failed(ProxyId proxy, const std::string& why) = 0;
   // Refused for what lies there.
-  virtual void push_refused(ProxyId proxy, const routing_state::RemoteState& met) = 0;
+  virtual void on_push_rejected(ProxyId proxy, const routing_state::RemoteState& met) = 0;
   // It answers, and that lies there.
-  virtual void push_met(ProxyId proxy, const routing_state::RemoteState& met) = 0;
+  virtual void on_remote_state(ProxyId proxy, const routing_state::RemoteState& met) = 0;
   // Somebody made it go back by hand, to tables of these replicas; nothing that is under way ends by that.
-  virtual void push_went_back(ProxyId proxy, const std::vector<std::string>& instead) = 0;
+  virtual void on_rollback(ProxyId proxy, const std::vector<std::string>& rolled_back_to) = 0;
 };
 
-}  // namespace ospreypost::front
+}  // namespace ospreypost::delivery
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -38,7 +38,9 @@
   if (member.name.empty() || member.name.size() > 200) throw net::Error("id is no name");
   const auto phase = text_at(entry, "phase");
   if (phase != "SERVING" && phase != "DRAINING" && phase != "DELETED") throw net::Error("phase is unknown");
-  member.phase = phase == "SERVING" ? EndpointPhase::ready : phase == "DRAINING" ? EndpointPhase::draining : EndpointPhase::gone;
+  member.phase = phase == "SERVING"    ? EndpointPhase::ready
+                 : phase == "DRAINING" ? EndpointPhase::draining
+                                       : EndpointPhase::gone;
   // Of what is gone nothing but its name is needed.
   if (member.phase == EndpointPhase::gone) return member;
   member.address = net::Address::parse(text_at(entry, "host_port"));
@@ -206,7 +208,8 @@
   net::Thread thread_;
 };
 
-DiscoveryWatcher::DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink, Waits waits)
+DiscoveryWatcher::DiscoveryWatcher(const net::Address& address, std::uint64_t revision,
+                                   EndpointListHandler& sink, Waits waits)
     : sink_(sink), waits_(waits), revision_(revision) {
   follower_ = std::make_unique<Follower>(*this, address);
 }
@@ -259,4 +262,4 @@
   sink_.on_discovery_silent(why);
 }
 
-}  // namespace ospreypost::sources
+}  // namespace ospreypost::discovery
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -65,7 +65,8 @@
   // `revision`: of the list that is known already.
   DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink)
       : DiscoveryWatcher(address, revision, sink, Waits{}) {}
-  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink, Waits waits);
+  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink,
+                   Waits waits);
   ~DiscoveryWatcher();
   // Dials there at once.
   void move_to(const net::Address& address);
@@ -89,4 +90,4 @@
   std::vector<std::unique_ptr<Follower>> leaving_;
 };
 
-}  // namespace ospreypost::sources
+}  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_file_source.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -78,7 +78,8 @@
   return found;
 }
 
-EndpointFileSource::EndpointFileSource(const config::Config& config, EndpointSourceListener& sink, Clock clock)
+EndpointFileSource::EndpointFileSource(const config::Config& config, EndpointSourceListener& sink,
+                                       Clock clock)
     : config_(config), sink_(sink), clock_(std::move(clock)) {
   thread_ = net::Thread("roll", [this] { watch(); });
 }
@@ -110,7 +111,8 @@
     if (mark == last_ && !again_.exchange(false)) return;
     const auto read = clock_();
     const auto wall = std::chrono::time_point_cast<Nanos>(std::chrono::system_clock::now());
-    const auto taken = roll_.take(read, wall, parse_endpoint_file(config::read_file(config_.roll.path), config_));
+    const auto taken =
+        roll_.update(read, wall, parse_endpoint_file(config::read_file(config_.roll.path), config_));
     // A file that was written a moment ago may be written again within one tick of the file system's clock.
     const bool settled =
         wall.time_since_epoch() - Nanos(found.st_mtim.tv_sec * 1'000'000'000 + found.st_mtim.tv_nsec) >
@@ -125,4 +127,4 @@
   }
 }
 
-}  // namespace ospreypost::sources
+}  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_file_source.h
+++ b/src/discovery/endpoint_file_source.h
@@ -27,7 +27,7 @@
 class EndpointSourceListener {
  public:
   virtual ~EndpointSourceListener() = default;
-  virtual void on_endpoint_list_changed(const discovery::EndpointList::Taken& taken) = 0;
+  virtual void on_endpoint_list_changed(const discovery::EndpointList::Changes& taken) = 0;
   // No news, and why: the last good list stands.
   virtual void on_endpoint_list_unreadable(const std::string& why) = 0;
 };
@@ -63,4 +63,4 @@
   net::Thread thread_;
 };
 
-}  // namespace ospreypost::sources
+}  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-EndpointList::Taken EndpointList::take(Nanos read, WallTime wall, std::vector<Endpoint> backends) {
+EndpointList::Changes EndpointList::update(Nanos read, WallTime wall, std::vector<Endpoint> backends) {
   if (backends.empty()) throw net::Error("the roll names nobody");
   std::map<std::string, Known> next;
-  Taken taken{!any_, {}};
+  Changes taken{!any_, {}};
   for (auto& backend : backends) {
     if (backend.name.empty()) throw net::Error("the roll holds a backend without a name");
     const auto name = backend.name;
@@ -50,4 +50,4 @@
   return taken;
 }
 
-}  // namespace ospreypost::list
+}  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -37,13 +37,13 @@
 
 class EndpointList {
  public:
-  struct Taken {
+  struct Changes {
     bool first = false;
     std::vector<EndpointChange> changes;  // by name
   };
   // `read` is when it was read, on both clocks. Throws net::Error naming what is absurd, and keeps what it
   // had.
-  Taken take(Nanos read, WallTime wall, std::vector<Endpoint> backends);
+  Changes update(Nanos read, WallTime wall, std::vector<Endpoint> backends);
   // Since the start.
   std::size_t size() const { return known_.size(); }
 
@@ -57,4 +57,4 @@
   bool any_ = false;
 };
 
-}  // namespace ospreypost::list
+}  // namespace ospreypost::discovery
--- a/src/discovery/name_table.h
+++ b/src/discovery/name_table.h
@@ -36,4 +36,4 @@
   std::map<std::string, Id, std::less<>> ids_;
 };
 
-}  // namespace ospreypost::names
+}  // namespace ospreypost::discovery
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -9,19 +9,21 @@
 #include <string>
 #include <unordered_map>
 
-#include "dns/name_index.h"
-#include "dns/message.h"
 #include "delivery/delivery_service.h"
+#include "dns/message.h"
+#include "dns/name_index.h"
 
 namespace ospreypost::dns {
 
 // What such an answer depends on, beside the question's bytes.
 struct Basis {
   explicit Basis(const delivery::PullAnswer& told)
-      : holding(told.holding), directory(told.directory), lifetime(told.verdict.lifetime) {}
+      : proxy_snapshot(told.proxy_snapshot),
+        directory(told.directory),
+        lifetime(told.ttl_decision.lifetime) {}
   bool operator==(const Basis&) const = default;
 
-  std::shared_ptr<const routing_state::ProxySnapshot> holding;
+  std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;
   std::shared_ptr<const delivery::EndpointDirectory> directory;
   dns::Ttl lifetime;
 };
--- a/src/dns/client_ttl_policy.cpp
+++ b/src/dns/client_ttl_policy.cpp
@@ -32,7 +32,7 @@
       silence_(std::max<Nanos>(limits.silence, 1s)),
       longest_(std::max(limits.longest, Ttl{1})) {}
 
-void ClientTtlPolicy::introduce(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
+void ClientTtlPolicy::add_known(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
 
 void ClientTtlPolicy::fade(Nanos now, Client& client) const {
   const double kept = std::exp2(-seconds(now - client.faded) / seconds(kMemoryHalfLife));
@@ -62,7 +62,7 @@
   if (client.shown == kShown) client.doubted = false;
 }
 
-TtlDecision ClientTtlPolicy::asked(Nanos now, ProxyId id, ClassId cls) {
+TtlDecision ClientTtlPolicy::on_query(Nanos now, ProxyId id, ClassId cls) {
   const auto known = clients_.find(id);
   if (known == clients_.end()) return {};
   auto& client = known->second;
@@ -77,25 +77,25 @@
   const auto lifetime = longest_for(client);
   const bool shown = client.shown == kShown || (client.vouched && !client.doubted);
   const bool trusted = lifetime > Ttl{} && shown;
-  TtlDecision verdict;
-  verdict.service = trusted ? ClientService::replicas : ClientService::proxies;
+  TtlDecision ttl_decision;
+  ttl_decision.service = trusted ? ClientService::replicas : ClientService::proxies;
   // While it has still to show itself, only short answers tell anything soon.
-  verdict.lifetime = trusted ? lifetime : Ttl{1};
-  verdict.joins = trusted && !client.joined;
-  verdict.leaves = !trusted && client.joined;
+  ttl_decision.lifetime = trusted ? lifetime : Ttl{1};
+  ttl_decision.joins = trusted && !client.joined;
+  ttl_decision.leaves = !trusted && client.joined;
   client.joined = trusted;
-  if (over || last == client.answers.end()) client.answers[cls] = {now, verdict.lifetime};
-  return verdict;
+  if (over || last == client.answers.end()) client.answers[cls] = {now, ttl_decision.lifetime};
+  return ttl_decision;
 }
 
-void ClientTtlPolicy::reported(Nanos now, ProxyId id) {
+void ClientTtlPolicy::on_report(Nanos now, ProxyId id) {
   const auto known = clients_.find(id);
   if (known != clients_.end()) known->second.heard = std::max(now, known->second.heard);
 }
 
 // Guards against a cache that holds on for longer than the silence: whoever returns from one, vouched for or
 // not, shows itself again. A client that was away pays with a few seconds.
-std::vector<ProxyId> ClientTtlPolicy::silent(Nanos now) {
+std::vector<ProxyId> ClientTtlPolicy::take_silent(Nanos now) {
   std::vector<ProxyId> left;
   for (auto& [id, client] : clients_) {
     if (client.answers.empty()) continue;
@@ -113,9 +113,9 @@
   return left;
 }
 
-bool ClientTtlPolicy::held(ProxyId id) const {
+bool ClientTtlPolicy::is_held(ProxyId id) const {
   const auto known = clients_.find(id);
   return known != clients_.end() && known->second.joined;
 }
 
-}  // namespace ospreypost::lifetime
+}  // namespace ospreypost::dns
--- a/src/dns/client_ttl_policy.h
+++ b/src/dns/client_ttl_policy.h
@@ -23,7 +23,7 @@
   Nanos list_lag{};     // that the list may be read late by
   Nanos flight{};       // of an answer, from its making to its first use, and of the question after it
   Nanos silence{};      // without a question or a report after which a client has left; at least 1 s
-  Ttl longest{};   // ever given; at least 1 s
+  Ttl longest{};        // ever given; at least 1 s
 };
 
 // Whether anybody can be held to that grace: the shortest lifetime, 1 s, has room in it.
@@ -47,15 +47,15 @@
   explicit ClientTtlPolicy(const ClientTtlLimits& limits);
 
   // `vouched`: the operator says that it asks the governor without a cache between.
-  void introduce(ProxyId client, bool vouched);
+  void add_known(ProxyId client, bool vouched);
   // Each class has a name of its own, and an answer of its own that may be held on to.
-  TtlDecision asked(Nanos now, ProxyId client, ClassId cls);
+  TtlDecision on_query(Nanos now, ProxyId client, ClassId cls);
   // Its report came: it lives.
-  void reported(Nanos now, ProxyId client);
+  void on_report(Nanos now, ProxyId client);
   // Those that fell silent and have left; each is named once.
-  std::vector<ProxyId> silent(Nanos now);
+  std::vector<ProxyId> take_silent(Nanos now);
   // Whether operations may be sent through it: it has joined and is held to the grace.
-  bool held(ProxyId client) const;
+  bool is_held(ProxyId client) const;
 
  private:
   struct Answer {
@@ -83,4 +83,4 @@
   std::map<ProxyId, Client> clients_;
 };
 
-}  // namespace ospreypost::lifetime
+}  // namespace ospreypost::dns
--- a/src/dns/name_index.cpp
+++ b/src/dns/name_index.cpp
@@ -46,7 +46,8 @@
   if (!proxies && !zones && !replicas) return NonexistentName{};
   if (labels.empty()) return EmptyNonTerminal{};
   const auto owner = take_last(labels);
-  if (replicas) return labels.empty() ? NameTarget(ReplicaHost{std::string(owner)}) : NameTarget(NonexistentName{});
+  if (replicas)
+    return labels.empty() ? NameTarget(ReplicaHost{std::string(owner)}) : NameTarget(NonexistentName{});
   if (const auto proxy = proxies_.find(owner); proxies && proxy) {
     if (labels.empty()) return ProxyHost{*proxy};
     return service(labels, [&](ClassId cls) { return ProxyTable{*proxy, cls}; });
--- a/src/dns/name_index.h
+++ b/src/dns/name_index.h
@@ -33,12 +33,12 @@
   std::string replica;
 };
 struct Apex {};
-struct OwnHost {};  // the governor's own name
+struct OwnHost {};           // the governor's own name
 struct EmptyNonTerminal {};  // no records of its own, but names below it (RFC 8020)
 struct NonexistentName {};   // does not exist
-struct OutOfZone {};  // not under the apex
-using NameTarget =
-    std::variant<OutOfZone, NonexistentName, EmptyNonTerminal, Apex, OwnHost, ProxyTable, ZoneProxies, ProxyHost, ReplicaHost>;
+struct OutOfZone {};         // not under the apex
+using NameTarget = std::variant<OutOfZone, NonexistentName, EmptyNonTerminal, Apex, OwnHost, ProxyTable,
+                                ZoneProxies, ProxyHost, ReplicaHost>;
 
 class NameIndex {
  public:
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -14,11 +14,12 @@
 constexpr std::uint32_t kNegativeLifetime = 1;
 
 // How operations of the class are let in and tried again, as RFC 6763 writes such pairs.
-Record terms_record(const Question& question, std::uint32_t lifetime, const routing_state::ProxySnapshot& holding,
+Record terms_record(const Question& question, std::uint32_t lifetime,
+                    const routing_state::ProxySnapshot& proxy_snapshot,
                     const routing_state::TrafficPolicy& terms) {
   char level[32];
   std::snprintf(level, sizeof(level), "level=%.4f", terms.level);
-  Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(holding.since)), level,
+  Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(proxy_snapshot.since)), level,
            std::string("retry=") + delivery::name_of(terms.retry)}};
   return {question.asked, lifetime, std::move(txt)};
 }
@@ -50,8 +51,8 @@
   // Whoever asks is judged each time; only the making of the same answer is saved.
   std::optional<delivery::PullAnswer> told;
   if (const auto made = made_.find(wire, by_tcp)) {
-    told = core_.asked(made->about.proxy, made->about.cls);
-    if (told->verdict.service == dns::ClientService::replicas && Basis(*told) == made->basis) {
+    told = core_.on_query(made->about.proxy, made->about.cls);
+    if (told->ttl_decision.service == dns::ClientService::replicas && Basis(*told) == made->basis) {
       auto again = made->answer;
       std::copy_n(wire.begin(), 2, again.begin());
       return again;
@@ -70,9 +71,9 @@
   const auto* table = std::get_if<ProxyTable>(&meaning);
   if (!table || !(wants(*question, Type::srv) || wants(*question, Type::txt)))
     return write_reply(*question, reply_to(*question, meaning), most);
-  if (!told) told = core_.asked(table->proxy, table->cls);
+  if (!told) told = core_.on_query(table->proxy, table->cls);
   auto answer = write_reply(*question, proxy_table(*question, *table, *told), most);
-  if (told->verdict.service == dns::ClientService::replicas && told->holding)
+  if (told->ttl_decision.service == dns::ClientService::replicas && told->proxy_snapshot)
     made_.keep(wire, by_tcp, {*table, Basis(*told), answer});
   return answer;
 }
@@ -135,25 +136,26 @@
   return reply;
 }
 
-Reply Responder::proxy_table(const Question& question, const ProxyTable& asked, const delivery::PullAnswer& told) {
-  if (told.verdict.service != dns::ClientService::replicas) {
+Reply Responder::proxy_table(const Question& question, const ProxyTable& asked,
+                             const delivery::PullAnswer& told) {
+  if (told.ttl_decision.service != dns::ClientService::replicas) {
     Reply reply;
     if (wants(question, Type::srv))
       add_entries(reply, question, told, proxies_[static_cast<std::size_t>(asked.proxy)].zone);
     return reply.answers.empty() ? nothing(Code::ok) : reply;
   }
   Reply reply;
-  const auto& holding = told.holding;
-  if (!holding || !holding->views[static_cast<std::size_t>(asked.cls)]) {
+  const auto& proxy_snapshot = told.proxy_snapshot;
+  if (!proxy_snapshot || !proxy_snapshot->routing_tables[static_cast<std::size_t>(asked.cls)]) {
     // Not a no: the proxy asks again at once, and may go on with what it holds until its lifetime ends.
     reply.code = Code::server_failure;
     return reply;
   }
-  const auto& view = *holding->views[static_cast<std::size_t>(asked.cls)];
+  const auto& view = *proxy_snapshot->routing_tables[static_cast<std::size_t>(asked.cls)];
   if (view.lines.empty()) return nothing(Code::ok);
-  const auto lifetime = told.verdict.lifetime.count();
+  const auto lifetime = told.ttl_decision.lifetime.count();
   const auto terms =
-      terms_record(question, lifetime, *holding, view.terms[static_cast<std::size_t>(asked.cls)]);
+      terms_record(question, lifetime, *proxy_snapshot, view.terms[static_cast<std::size_t>(asked.cls)]);
   if (wants(question, Type::txt)) reply.answers.push_back(terms);
   if (!wants(question, Type::srv)) return reply;
   std::vector<double> weights;
@@ -172,14 +174,14 @@
 Reply Responder::zone_proxies(const Question& question, const ZoneProxies& asked) {
   if (!wants(question, Type::srv)) return nothing(Code::ok);
   Reply reply;
-  add_entries(reply, question, core_.asked_zone(asked.zone), asked.zone);
+  add_entries(reply, question, core_.on_zone_query(asked.zone), asked.zone);
   return reply.answers.empty() ? nothing(Code::ok) : reply;
 }
 
 // The proxies of the asker's own zone come first; those of others only when none of these answers.
 void Responder::add_entries(Reply& reply, const Question& question, const delivery::PullAnswer& told,
                             std::optional<ZoneId> own_zone) const {
-  const auto lifetime = told.verdict.lifetime.count();
+  const auto lifetime = told.ttl_decision.lifetime.count();
   for (const auto& entry : told.entries) {
     const auto target = catalogue_.proxy_host(entry.proxy);
     const std::uint16_t priority = entry.zone == own_zone ? 0 : 1;
--- a/src/dns/responder.h
+++ b/src/dns/responder.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "config/config.h"
+#include "delivery/delivery_service.h"
 #include "dns/answer_cache.h"
-#include "dns/name_index.h"
 #include "dns/message.h"
-#include "delivery/delivery_service.h"
+#include "dns/name_index.h"
 
 namespace ospreypost::dns {
 
--- a/src/fakes/caching_client.cpp
+++ b/src/fakes/caching_client.cpp
@@ -9,8 +9,9 @@
 
 }  // namespace
 
-CachingClient::CachingClient(const std::string& name, const OperationClass& cls, nanoseconds every, nanoseconds hold,
-                   std::uint64_t first_id, checker::Trace& trace, std::uint32_t seed)
+CachingClient::CachingClient(const std::string& name, const OperationClass& cls, nanoseconds every,
+                             nanoseconds hold, std::uint64_t first_id, checker::Trace& trace,
+                             std::uint32_t seed)
     : name_(name), cls_(cls), every_(every), hold_(hold), next_id_(first_id), trace_(trace), chance_(seed) {}
 
 void CachingClient::start(const net::Address& dns) {
@@ -74,4 +75,4 @@
   return false;
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/caching_client.h
+++ b/src/fakes/caching_client.h
@@ -17,7 +17,8 @@
  public:
   // `hold`: how long it goes on by one answer. `names_from`: number of its first operation.
   CachingClient(const std::string& name, const OperationClass& cls, std::chrono::nanoseconds every,
-           std::chrono::nanoseconds hold, std::uint64_t first_id, checker::Trace& trace, std::uint32_t seed);
+                std::chrono::nanoseconds hold, std::uint64_t first_id, checker::Trace& trace,
+                std::uint32_t seed);
   ~CachingClient() { stop(); }
   void start(const net::Address& dns);
   void stop();
@@ -40,4 +41,4 @@
   net::Thread thread_;
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/fault.h
+++ b/src/fakes/fault.h
@@ -13,4 +13,4 @@
   silent,       // does its work and says nothing of it
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/faulty_link.cpp
+++ b/src/fakes/faulty_link.cpp
@@ -47,7 +47,7 @@
 
 // By hand, as no client that is well would write it.
 void FaultyLink::bring_in_pieces(const http::Request& request, std::size_t bytes,
-                              std::chrono::nanoseconds time) {
+                                 std::chrono::nanoseconds time) {
   const auto text =
       "PUT /generation HTTP/1.1\r\nHost: " + receiver_.text() +
       "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(request.body.size()) +
@@ -96,4 +96,4 @@
   }
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/faulty_link.h
+++ b/src/fakes/faulty_link.h
@@ -45,4 +45,4 @@
   http::Server server_;
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/proxy.cpp
+++ b/src/fakes/proxy.cpp
@@ -414,4 +414,4 @@
   }
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/proxy.h
+++ b/src/fakes/proxy.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "http/http.h"
 #include "checker/trace.h"
-#include "load_reports/otlp_metrics.h"
 #include "fakes/stub.h"
+#include "http/http.h"
+#include "load_reports/otlp_metrics.h"
 
 namespace ospreypost::fakes {
 
@@ -128,4 +128,4 @@
   net::Thread resolving_, reporting_, posting_;
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/replica.cpp
+++ b/src/fakes/replica.cpp
@@ -48,7 +48,8 @@
         initial_warm_up_capacity(cold ? shape.initial_warm_up_capacity : 1),
         listener(net::listen_tcp(shape.address, 64)),
         crew("replica", shape.most_connections, 4, kStack) {
-    trace.add(checker::Started{begun, shape.name, shape.cores * shape.speed, initial_warm_up_capacity, shape.warm_up_duration});
+    trace.add(checker::Started{begun, shape.name, shape.cores * shape.speed, initial_warm_up_capacity,
+                               shape.warm_up_duration});
     listening = net::Thread(
         "replica", [this] { listen(); }, kStack);
   }
@@ -168,9 +169,11 @@
 
   // False if the replica died meanwhile.
   bool work(double work_seconds) {
-    const double age =
-        shape.warm_up_duration > 0ns ? std::chrono::duration<double>(now() - begun) / shape.warm_up_duration : 1;
-    const double warmth = initial_warm_up_capacity + (1 - initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0);
+    const double age = shape.warm_up_duration > 0ns
+                           ? std::chrono::duration<double>(now() - begun) / shape.warm_up_duration
+                           : 1;
+    const double warmth =
+        initial_warm_up_capacity + (1 - initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0);
     const double slower = fault == Fault::slow ? factor.load() : 1;
     const nanoseconds takes(std::llround(work_seconds / shape.speed / warmth * slower * 1e9));
     std::unique_lock held(lock);
@@ -215,4 +218,4 @@
   life_->changed.notify_all();
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/replica.h
+++ b/src/fakes/replica.h
@@ -12,9 +12,9 @@
 #include <set>
 #include <string>
 
-#include "http/http.h"
 #include "checker/trace.h"
 #include "fakes/fault.h"
+#include "http/http.h"
 
 namespace ospreypost::fakes {
 
@@ -46,4 +46,4 @@
   std::shared_ptr<Life> life_;
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/resolver.cpp
+++ b/src/fakes/resolver.cpp
@@ -68,4 +68,4 @@
   return std::chrono::duration_cast<net::Steady::duration>(std::chrono::duration<double>(seconds * factor_));
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/resolver.h
+++ b/src/fakes/resolver.h
@@ -39,4 +39,4 @@
   net::Thread thread_;
 };
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/stub.cpp
+++ b/src/fakes/stub.cpp
@@ -111,4 +111,4 @@
   return {};
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/stub.h
+++ b/src/fakes/stub.h
@@ -28,4 +28,4 @@
 // Asks once more after a second without an answer; by TCP if the answer, or an address in it, did not fit.
 Resolved resolve(const net::Address& server, const std::string& name);
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/tables.cpp
+++ b/src/fakes/tables.cpp
@@ -96,4 +96,4 @@
   return text ? read_upstream(*text) : Resolved{};
 }
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/fakes/tables.h
+++ b/src/fakes/tables.h
@@ -15,4 +15,4 @@
 // FOLDER/CLASS.json, else FOLDER/CLASS.conf.
 Resolved read_table(const std::string& folder, const std::string& cls);
 
-}  // namespace ospreypost::standin
+}  // namespace ospreypost::fakes
--- a/src/files/generation_store.cpp
+++ b/src/files/generation_store.cpp
@@ -180,8 +180,8 @@
   if (!now) throw net::Error("nothing whole is current");
   const auto wanted = "version " + std::to_string(version);
   const auto stamps = kept();
-  const auto at =
-      std::find_if(stamps.rbegin(), stamps.rend(), [&](const GenerationId& s) { return s.version == version; });
+  const auto at = std::find_if(stamps.rbegin(), stamps.rend(),
+                               [&](const GenerationId& s) { return s.version == version; });
   if (at == stamps.rend()) throw net::Error(wanted + " is not kept");
   const auto old = whole(path_ / name_of(*at));
   if (!old) throw net::Error(wanted + " is not whole");
--- a/src/files/pusher.cpp
+++ b/src/files/pusher.cpp
@@ -25,14 +25,15 @@
 Generation generation_of(const config::Config& config, const delivery::PushMessage& push) {
   Generation generation;
   generation.owner = push.owner;
-  generation.stamp = {push.epoch, static_cast<std::uint64_t>(push.holding->since)};
+  generation.stamp = {push.epoch, static_cast<std::uint64_t>(push.proxy_snapshot->since)};
   generation.lease_ms = static_cast<std::uint64_t>(config.files.lease / 1ms);
   generation.out = push.out;
   std::set<std::string> names;
-  for (std::size_t k = 0; k < push.holding->views.size(); ++k) {
-    const auto& view = push.holding->views[k];
+  for (std::size_t k = 0; k < push.proxy_snapshot->routing_tables.size(); ++k) {
+    const auto& view = push.proxy_snapshot->routing_tables[k];
     if (!view) continue;
-    const Terms terms{generation.stamp.version, view->terms[k].level, delivery::name_of(view->terms[k].retry)};
+    const Terms terms{generation.stamp.version, view->terms[k].level,
+                      delivery::name_of(view->terms[k].retry)};
     std::vector<Endpoint> endpoints;
     for (const auto& line : view->lines) {
       const auto& place = push.directory->place(line.replica);
@@ -64,7 +65,7 @@
   scheduler_ = net::Thread("push-schedule", [this] { schedule(); });
 }
 
-void Pusher::something_ordered() {
+void Pusher::on_push_available() {
   const std::lock_guard held(lock_);
   looked_ = false;
   changed_.notify_one();
@@ -88,8 +89,8 @@
     changed_.wait(held, [this] { return stopping_ || busy_ < config_.files.threads; });
     if (stopping_) return;
     held.unlock();
-    const auto push = core_.next_push();
-    const auto wait = push ? Nanos{} : std::min(kLongest, core_.push_due_in().value_or(kLongest));
+    const auto push = core_.take_push();
+    const auto wait = push ? Nanos{} : std::min(kLongest, core_.next_push_in().value_or(kLongest));
     held.lock();
     if (push) {
       ++busy_;
@@ -103,24 +104,24 @@
 void Pusher::carry(const delivery::PushMessage& push) {
   const auto until = net::Steady::now() + config_.files.patience;
   try {
-    if (!push.holding) {
-      core_.push_met(push.proxy, met(state_of(push.proxy, &push, until)));
+    if (!push.proxy_snapshot) {
+      core_.on_remote_state(push.proxy, met(state_of(push.proxy, &push, until)));
     } else {
       const auto [delivery, state] = deliver(push, until);
       switch (delivery) {
         case Delivery::taken:
-          core_.push_taken(push.proxy, push.holding->since);
+          core_.on_push_confirmed(push.proxy, push.proxy_snapshot->since);
           break;
         case Delivery::unconfirmed:
-          core_.push_failed(push.proxy, "its reader has not confirmed");
+          core_.on_push_failed(push.proxy, "its reader has not confirmed");
           break;
         case Delivery::older:
-          core_.push_refused(push.proxy, met(state));
+          core_.on_push_rejected(push.proxy, met(state));
           break;
       }
     }
   } catch (const std::exception& error) {
-    core_.push_failed(push.proxy, error.what());
+    core_.on_push_failed(push.proxy, error.what());
   }
   const std::lock_guard held(lock_);
   --busy_;
@@ -167,7 +168,7 @@
   }
   const auto state = look(id);
   // Who was withdrawn meanwhile is recalled at once.
-  core_.push_went_back(id, state.instead);
+  core_.on_rollback(id, state.instead);
   return state;
 }
 
--- a/src/files/pusher.h
+++ b/src/files/pusher.h
@@ -7,9 +7,9 @@
 #include <mutex>
 
 #include "config/config.h"
+#include "delivery/delivery_service.h"
 #include "files/receiver.h"
 #include "files/render.h"
-#include "delivery/delivery_service.h"
 
 namespace ospreypost::files {
 
@@ -20,7 +20,7 @@
  public:
   Pusher(const config::Config& config, delivery::PushService& core);
   ~Pusher() override { stop(); }
-  void something_ordered() override;
+  void on_push_available() override;
   void stop();
 
   // By hand. What lies at a proxy; throws net::Error if nobody there can say, or it has neither folder nor
--- a/src/files/receiver.cpp
+++ b/src/files/receiver.cpp
@@ -77,7 +77,7 @@
 }
 
 GenerationShelf::GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
-             std::function<void(const char*)> step)
+                                 std::function<void(const char*)> step)
     : folder_(std::move(folder), keep, std::move(step)), reader_confirms_(reader_confirms) {
   try {
     if (const auto current = folder_.current()) lease_ = std::chrono::milliseconds(current->lease_ms);
--- a/src/files/receiver.h
+++ b/src/files/receiver.h
@@ -32,7 +32,7 @@
 // What a folder and its reader are at; as /state says it.
 struct State {
   GenerationId stored, applied;
-  GenerationStore::Newest newest;             // as `stored`, but after a way back
+  GenerationStore::Newest newest;    // as `stored`, but after a way back
   std::vector<std::string> instead;  // after a way back: the replicas of `stored`
   bool any = false;                  // something is stored
   bool stale = false;                // nobody who may order has spoken within the lease
@@ -49,7 +49,7 @@
 class GenerationShelf {
  public:
   GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
-        std::function<void(const char*)> step = {});
+                  std::function<void(const char*)> step = {});
   // Waits for the reader until the deadline. Throws net::Error if it cannot be stored.
   Delivery put(const Generation& generation, bool recall, net::Deadline until);
   // A sign of life: the lease runs anew if the newest is of that epoch and owner.
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -52,7 +52,8 @@
     try {
       got = net::read_some(socket_, buffer, until, interrupt_);
     } catch (const net::Error& error) {
-      if (begun && net::Steady::now() >= until) throw RequestRejected(408, "the message did not arrive in time");
+      if (begun && net::Steady::now() >= until)
+        throw RequestRejected(408, "the message did not arrive in time");
       throw;
     }
     if (got == 0) {
--- a/src/load_reports/load_report_processor.cpp
+++ b/src/load_reports/load_report_processor.cpp
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-LoadReportProcessor::LoadReportProcessor(const config::Config& config, LoadReportListener& receiver) : config_(config), receiver_(receiver) {
+LoadReportProcessor::LoadReportProcessor(const config::Config& config, LoadReportListener& receiver)
+    : config_(config), receiver_(receiver) {
   for (const auto& proxy : config.proxies.known) {
     proxies_.id_of(proxy.name);
     senders_.push_back(std::make_unique<Sender>(config.reports.oldest));
@@ -46,7 +47,8 @@
   return false;
 }
 
-void LoadReportProcessor::take(Nanos received, const load_reports::MetricsReport& report, ReportCounts& outcome) {
+void LoadReportProcessor::take(Nanos received, const load_reports::MetricsReport& report,
+                               ReportCounts& outcome) {
   outcome.malformed += report.foreign;
   const auto proxy = proxies_.find(report.proxy);
   if (!proxy) {
@@ -83,11 +85,12 @@
     }
     if (!counts(sender.spans.take(received, "class " + point.cls, point.span), outcome)) continue;
     receiver_.on_demand_report({*cls, point.operations, point.unanswered, point.span.end - point.span.start},
-                            {*proxy, sender.spans.late(received, point.span)});
+                               {*proxy, sender.spans.late(received, point.span)});
   }
 }
 
-ReportCounts LoadReportProcessor::take(Nanos received, const std::vector<load_reports::MetricsReport>& reports) {
+ReportCounts LoadReportProcessor::take(Nanos received,
+                                       const std::vector<load_reports::MetricsReport>& reports) {
   ReportCounts outcome;
   for (const auto& report : reports) take(received, report, outcome);
   const std::lock_guard held(totals_lock_);
@@ -104,4 +107,4 @@
   return totals_;
 }
 
-}  // namespace ospreypost::intake
+}  // namespace ospreypost::load_reports
--- a/src/load_reports/load_report_processor.h
+++ b/src/load_reports/load_report_processor.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "config/config.h"
-#include "load_reports/report_spans.h"
 #include "discovery/name_table.h"
 #include "load_reports/otlp_metrics.h"
+#include "load_reports/report_spans.h"
 #include "record/origin.h"
 
 namespace ospreypost::load_reports {
@@ -54,4 +54,4 @@
   ReportCounts totals_;
 };
 
-}  // namespace ospreypost::intake
+}  // namespace ospreypost::load_reports
--- a/src/load_reports/otlp_metrics.cpp
+++ b/src/load_reports/otlp_metrics.cpp
@@ -190,10 +190,10 @@
     at["asInt"] = std::to_string(point.unanswered);
     unanswered.push_back(at);
   }
-  json metrics = json::array({sum_metric("ospreypost.tries", attempts), sum_metric("ospreypost.failed", failed),
-                              sum_metric("ospreypost.handled.time", time),
-                              sum_metric("ospreypost.operations", operations),
-                              sum_metric("ospreypost.unanswered", unanswered)});
+  json metrics = json::array(
+      {sum_metric("ospreypost.tries", attempts), sum_metric("ospreypost.failed", failed),
+       sum_metric("ospreypost.handled.time", time), sum_metric("ospreypost.operations", operations),
+       sum_metric("ospreypost.unanswered", unanswered)});
   if (!load.empty()) metrics.push_back({{"name", "ospreypost.load"}, {"gauge", {{"dataPoints", load}}}});
   const json request = {
       {"resourceMetrics",
@@ -204,4 +204,4 @@
   return request.dump();
 }
 
-}  // namespace ospreypost::otlp
+}  // namespace ospreypost::load_reports
--- a/src/load_reports/otlp_metrics.h
+++ b/src/load_reports/otlp_metrics.h
@@ -44,4 +44,4 @@
 // The request that carries a report; for senders.
 std::string write_metrics(const MetricsReport& report);
 
-}  // namespace ospreypost::otlp
+}  // namespace ospreypost::load_reports
--- a/src/load_reports/report_spans.cpp
+++ b/src/load_reports/report_spans.cpp
@@ -61,4 +61,4 @@
   return SpanVerdict::counts;
 }
 
-}  // namespace ospreypost::intake
+}  // namespace ospreypost::load_reports
--- a/src/load_reports/report_spans.h
+++ b/src/load_reports/report_spans.h
@@ -49,4 +49,4 @@
   std::map<std::string, std::map<Nanos, Nanos>> counted_;
 };
 
-}  // namespace ospreypost::intake
+}  // namespace ospreypost::load_reports
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -46,7 +46,8 @@
   if (std::exchange(joinable_, false)) pthread_join(handle_, nullptr);
 }
 
-ThreadPool::ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting, std::size_t stack)
+ThreadPool::ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting,
+                       std::size_t stack)
     : most_waiting_(most_waiting) {
   try {
     for (std::size_t n = 0; n < threads; ++n)
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -36,7 +36,7 @@
  public:
   // Throws Error if not all threads can be had.
   ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting,
-       std::size_t stack = kSmallStack);
+             std::size_t stack = kSmallStack);
   ~ThreadPool() { stop(); }
   // False, and the job is not taken, when as many wait as may or the crew has stopped.
   bool take(std::function<void()> job);
--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-EndpointUpdate EndpointRegistry::entry_of(const discovery::EndpointEntry& member, Taken& taken) {
+EndpointUpdate EndpointRegistry::entry_of(const discovery::EndpointEntry& member, Changes& taken) {
   const auto known = ids_.find(member.name);
   const ReplicaId id = known != ids_.end() ? known->second : ReplicaId{next_++};
   if (known == ids_.end()) ids_.emplace(member.name, id);
@@ -35,8 +35,8 @@
   return entry;
 }
 
-EndpointRegistry::Taken EndpointRegistry::take(const discovery::EndpointListUpdate& roster) {
-  Taken taken;
+EndpointRegistry::Changes EndpointRegistry::take(const discovery::EndpointListUpdate& roster) {
+  Changes taken;
   std::set<std::string_view> named(roster.unreadable.begin(), roster.unreadable.end());
   for (const auto& member : roster.members) {
     named.insert(member.name);
--- a/src/platform/endpoint_registry.h
+++ b/src/platform/endpoint_registry.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "policy/controller.h"
 #include "discovery/discovery_watcher.h"
+#include "policy/controller.h"
 
 namespace ospreypost::platform {
 
@@ -28,7 +28,7 @@
   EndpointRegistry(std::vector<std::string> zones, std::vector<std::string> kinds, Nanos offset)
       : zones_(std::move(zones)), kinds_(std::move(kinds)), offset_(offset) {}
 
-  struct Taken {
+  struct Changes {
     std::vector<EndpointUpdate> entries;
     std::vector<ReplicaId> out;  // known ones that are now neither ready nor were out before
     std::size_t refused = 0;     // entries of zones or kinds that the settings don't have
@@ -36,7 +36,7 @@
     // of its replica, not that it is gone.
     bool as_changes = false;
   };
-  Taken take(const discovery::EndpointListUpdate& roster);
+  Changes take(const discovery::EndpointListUpdate& roster);
 
   std::optional<ReplicaId> find(std::string_view name) const;
   // Null if it was let go or never given.
@@ -47,7 +47,7 @@
   std::size_t size() const { return places_.size(); }
 
  private:
-  EndpointUpdate entry_of(const discovery::EndpointEntry& member, Taken& taken);
+  EndpointUpdate entry_of(const discovery::EndpointEntry& member, Changes& taken);
 
   const std::vector<std::string> zones_, kinds_;
   const Nanos offset_;
--- a/src/platform/gossip_channel.cpp
+++ b/src/platform/gossip_channel.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-GossipChannel::GossipChannel(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all,
-             Heard heard)
+GossipChannel::GossipChannel(const net::Address& listen, std::vector<net::Address> peers,
+                             const net::Address& all, Heard heard)
     : peers_(std::move(peers)), all_(all), heard_(std::move(heard)), socket_(net::bind_udp(listen)) {
   thread_ = net::Thread(
       "peers", [this] { this->listen(); }, kStack);
--- a/src/platform/gossip_channel.h
+++ b/src/platform/gossip_channel.h
@@ -19,7 +19,8 @@
   using Heard = std::function<void(PeerId, std::string_view)>;
   // `peers`: the address of each by its number; `all` reaches every one. `heard` is called from a thread of
   // its own. Throws net::Error if the address cannot be had.
-  GossipChannel(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all, Heard heard);
+  GossipChannel(const net::Address& listen, std::vector<net::Address> peers, const net::Address& all,
+                Heard heard);
   ~GossipChannel() { stop(); }
   net::Address address() const { return net::local_address(socket_); }
   // No peer: every one. What is longer than a datagram may be is not sent, and false.
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -142,7 +142,7 @@
 }
 
 void parse_message(const std::vector<std::string_view>& words, const MessageNames& vocabulary, PeerRole from,
-                  std::optional<ProxyId> proxy, MessageHandler& told) {
+                   std::optional<ProxyId> proxy, MessageHandler& told) {
   const auto kind = words.front();
   if (kind == "probe") return told.on_liveness_request();
   const Fields fields(words);
@@ -159,7 +159,8 @@
     if (from == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
     return told.on_collector_hello(zone_of(fields, vocabulary));
   }
-  if (from == PeerRole::stranger) throw MessageError("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
+  if (from == PeerRole::stranger)
+    throw MessageError("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
   if (kind == "outcomes") return told.on_replica_load_report(read_sum(fields, vocabulary));
   if (kind == "demand") {
     const auto id = proxy_of(fields, vocabulary);
--- a/src/platform/messages.h
+++ b/src/platform/messages.h
@@ -44,7 +44,7 @@
 
 // `from`: who sent it, and `proxy` which, if it is one. Throws Spoilt, and then nothing was told.
 void parse_message(const std::vector<std::string_view>& words, const MessageNames& vocabulary, PeerRole from,
-                  std::optional<ProxyId> proxy, MessageHandler& told);
+                   std::optional<ProxyId> proxy, MessageHandler& told);
 
 // "inflight=7, queue=2, util=0.61" with '=' or ':' between, in the order of `columns`. Throws Spoilt.
 std::vector<float> read_columns(std::string_view text, char between, const std::vector<std::string>& columns);
--- a/src/platform/platform_config.h
+++ b/src/platform/platform_config.h
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
+#include "discovery/discovery_watcher.h"
 #include "net/socket.h"
 #include "policy/controller.h"
-#include "discovery/discovery_watcher.h"
 
 namespace ospreypost::platform {
 
@@ -24,8 +24,8 @@
   // The names that the settings' numbers stand for, in their order.
   std::vector<std::string> classes, zones, kinds, load_columns;
   RetryMode usual_retry = RetryMode::after_rejection_proof;  // of a proxy that has no orders for a class
-  Nanos quantum{};                         // the simulator's least time between two batches
-  std::string known;                       // the list as last had, in discovery's form
+  Nanos quantum{};                                           // the simulator's least time between two batches
+  std::string known;                                         // the list as last had, in discovery's form
 };
 
 // Throws config::Faulty: one line that names `where` and the field.
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -38,25 +38,26 @@
   // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
   // simulator: each message costs its head, and only so many may go to a proxy.
   const auto gather = std::max(environment_.quantum, kGatherLeast);
-  desk_ = std::make_unique<control_plane::ControllerDriver>(
-      control_plane::ControllerDriver::Start{environment_.settings, environment_.seed, gather, nullptr, ""}, now,
-      static_cast<control_plane::ControllerFrontend&>(*this));
+  driver_ = std::make_unique<control_plane::ControllerDriver>(
+      control_plane::ControllerDriver::Start{environment_.settings, environment_.seed, gather, nullptr, ""},
+      now, static_cast<control_plane::ControllerFrontend&>(*this));
   std::uint64_t revision = 0;
   try {
     const auto known = discovery::parse_endpoint_list_update(environment_.known);
     revision = known.revision;
     take_list(known, true);
   } catch (const net::Error& error) {
-    complain(std::string("no list was known: ") + error.what());
+    log_peer_error(std::string("no list was known: ") + error.what());
   }
   if (environment_.may_talk) {
     teller_ = std::make_unique<net::ThreadPool>("teller", 1, kWordsWaiting, kSmallestStack);
     const auto heard = [this](PeerId peer, std::string_view message) {
-      desk_->call(
-          [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) { governor.on_peer_message(at, peer, message); });
+      driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+        governor.on_peer_message(at, peer, message);
+      });
     };
-    peers_ =
-        std::make_unique<GossipChannel>(environment_.peer_listen, environment_.peers, environment_.peers_all, heard);
+    peers_ = std::make_unique<GossipChannel>(environment_.peer_listen, environment_.peers,
+                                             environment_.peers_all, heard);
   }
   MessageNames vocabulary;
   vocabulary.classes = environment_.classes;
@@ -68,17 +69,17 @@
     return places_.find(name);
   };
   streams_ = std::make_unique<StreamServer>(environment_.listen, environment_.sockets - kOtherDescriptors,
-                                       std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
-  registry_ = std::make_unique<discovery::DiscoveryWatcher>(environment_.discovery, revision,
-                                                  static_cast<discovery::EndpointListHandler&>(*this));
-  desk_->open([this] { look_round(); }, kLookEvery);
+                                            std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
+  registry_ = std::make_unique<discovery::DiscoveryWatcher>(
+      environment_.discovery, revision, static_cast<discovery::EndpointListHandler&>(*this));
+  driver_->start([this] { run_maintenance(); }, kLookEvery);
 }
 
 void Service::stop() {
   if (stopped_.exchange(true)) return;
   interrupt_.set();
   registry_->stop();
-  desk_->stop();
+  driver_->stop();
   streams_->stop();
   probers_->stop();
   if (teller_) teller_->stop();
@@ -92,14 +93,14 @@
 
 // --- Orders
 
-void Service::ordered(Nanos, const std::optional<routing_state::RoutingState::Published>& published,
-                      const std::vector<std::pair<AckRequestId, bool>>& marks) {
+void Service::on_published(Nanos, const std::optional<routing_state::RoutingState::Published>& published,
+                           const std::vector<std::pair<AckRequestId, bool>>& marks) {
   {
     const std::lock_guard held(lock_);
     if (published) {
       version_ = published->version;
       for (const auto& pending : published->pending)
-        channel_.ordered(pending.proxy, version_->holding_of(pending.proxy));
+        channel_.on_published(pending.proxy, version_->snapshot_of(pending.proxy));
     }
     for (const auto& [mark, reach_all] : marks) {
       for (const auto proxy : version_->marked(reach_all)) channel_.marked(proxy, mark, reach_all);
@@ -140,34 +141,34 @@
 // --- Streams
 
 void Service::on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
-  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
     {
       const std::lock_guard held(lock_);
       channel_.joined(proxy);
     }
-    book.left(proxy);
-    book.joined(proxy);
+    book.remove_proxy(proxy);
+    book.add_proxy(proxy);
     governor.on_proxy_joined(at, proxy, zone, operations_per_second, fresh);
   });
 }
 
 void Service::on_proxy_left(ProxyId proxy) {
-  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
     governor.on_proxy_left(at, proxy);
-    book.left(proxy);
+    book.remove_proxy(proxy);
     const std::lock_guard held(lock_);
     channel_.left(proxy);
   });
 }
 
 void Service::on_replica_load_report(const ReplicaLoadReport& sum) {
-  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
     governor.on_replica_load_report(at, sum, record::Origin{});
   });
 }
 
 void Service::on_demand_report(ProxyId proxy, const DemandReport& demand) {
-  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
     governor.on_demand_report(at, demand, record::Origin{proxy, {}});
   });
 }
@@ -179,18 +180,18 @@
     settled = channel_.answered(proxy, nonce);
   }
   for (const auto mark : settled) {
-    desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
       governor.on_acknowledged(at, proxy, mark, took);
     });
   }
 }
 
-std::vector<ProxyId> Service::due() {
+std::vector<ProxyId> Service::due_proxies() {
   const std::lock_guard held(lock_);
-  return {channel_.due().begin(), channel_.due().end()};
+  return {channel_.due_proxies().begin(), channel_.due_proxies().end()};
 }
 
-std::string Service::next_for(ProxyId proxy) {
+std::string Service::next_message(ProxyId proxy) {
   const std::lock_guard held(lock_);
   return channel_.next(proxy, [this](ReplicaId id) { return name_of(id); }).bytes;
 }
@@ -203,13 +204,15 @@
 
 // --- The list, and what is asked of replicas
 
-void Service::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) { take_list(roster, false); }
+void Service::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) {
+  take_list(roster, false);
+}
 
 void Service::take_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   log_list(roster, at_start);
   std::size_t refused = roster.refused;
-  desk_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-    EndpointRegistry::Taken taken;
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
+    EndpointRegistry::Changes taken;
     {
       const std::lock_guard held(lock_);
       taken = places_.take(roster);
@@ -221,7 +224,7 @@
                                                              : EndpointListKind::changes;
     governor.on_endpoint_list(at, kind, taken.entries);
   });
-  if (refused > 0) complain("entries of the list that cannot be read");
+  if (refused > 0) log_peer_error("entries of the list that cannot be read");
   if (streams_) streams_->wake();
 }
 
@@ -229,12 +232,13 @@
 void Service::log_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   std::size_t ready = 0, young = 0;
   for (const auto& member : roster.members) {
-    const bool recent = member.started && wall_now() - *member.started < environment_.settings.warm_up_duration;
+    const bool recent =
+        member.started && wall_now() - *member.started < environment_.settings.warm_up_duration;
     ready += member.phase == EndpointPhase::ready;
     young += member.phase == EndpointPhase::ready && recent;
     const char* phase = member.phase == EndpointPhase::ready      ? (recent ? "ready, cold" : "ready")
                         : member.phase == EndpointPhase::draining ? "draining"
-                                                          : "gone";
+                                                                  : "gone";
     if (!roster.complete) log_->info("list replica={} phase={}", member.name, phase);
   }
   if (roster.complete)
@@ -258,19 +262,20 @@
     answer.answered = got.status == 200;
     if (answer.answered) answer.load = read_report(got.body, environment_.load_columns);
   } catch (const MessageError& spoilt) {
-    complain("a load report was dropped: " + std::string(spoilt.what()));
+    log_peer_error("a load report was dropped: " + std::string(spoilt.what()));
     answer.answered = false;
   } catch (const std::exception&) {
     // No answer is an answer, and told as one.
   }
   answer.took = net::Steady::now() - begun;
   if (stopped_) return;
-  desk_->call(
-      [&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) { governor.on_health_check_result(now, answer); });
+  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
+    governor.on_health_check_result(now, answer);
+  });
 }
 
 // Every so often: what no call may do, as it would wait or take long.
-void Service::look_round() {
+void Service::run_maintenance() {
   if (wants_list_.exchange(false)) registry_->look();
   const std::lock_guard held(lock_);
   for (const auto id : channel_.unheld(places_.gone())) places_.let_go(id);
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -9,14 +9,14 @@
 
 #include "control_plane/controller_driver.h"
 #include "control_plane/log_lines.h"
+#include "discovery/discovery_watcher.h"
 #include "net/cancellation_event.h"
 #include "net/threads.h"
-#include "platform/table_update_encoder.h"
-#include "platform/platform_config.h"
-#include "platform/gossip_channel.h"
 #include "platform/endpoint_registry.h"
+#include "platform/gossip_channel.h"
+#include "platform/platform_config.h"
 #include "platform/stream_server.h"
-#include "discovery/discovery_watcher.h"
+#include "platform/table_update_encoder.h"
 
 namespace spdlog {
 class logger;
@@ -24,7 +24,9 @@
 
 namespace ospreypost::platform {
 
-class Service : private control_plane::ControllerFrontend, private StreamEventHandler, private discovery::EndpointListHandler {
+class Service : private control_plane::ControllerFrontend,
+                private StreamEventHandler,
+                private discovery::EndpointListHandler {
  public:
   // Throws net::Error if an address cannot be had. Serves from then on.
   Service(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log);
@@ -35,9 +37,9 @@
   void stop();
 
  private:
-  void ordered(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
-               const std::vector<std::pair<AckRequestId, bool>>& marks) override;
-  void withdrawn(ReplicaId, bool) override {}
+  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+                    const std::vector<std::pair<AckRequestId, bool>>& marks) override;
+  void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool) override {}
   void refresh_endpoint_list() override { wants_list_ = true; }
@@ -49,18 +51,18 @@
   void on_replica_load_report(const ReplicaLoadReport& sum) override;
   void on_demand_report(ProxyId proxy, const DemandReport& demand) override;
   void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) override;
-  std::vector<ProxyId> due() override;
-  std::string next_for(ProxyId proxy) override;
+  std::vector<ProxyId> due_proxies() override;
+  std::string next_message(ProxyId proxy) override;
   std::string_view name_of(ReplicaId id) const;
-  void complain(const std::string& what) override { complaints_.add(what); }
+  void log_peer_error(const std::string& what) override { complaints_.add(what); }
 
   void on_endpoint_list_update(const discovery::EndpointListUpdate& roster) override;
-  void on_discovery_silent(const std::string& why) override { complain("no news of the list: " + why); }
+  void on_discovery_silent(const std::string& why) override { log_peer_error("no news of the list: " + why); }
   void take_list(const discovery::EndpointListUpdate& roster, bool at_start);
   void log_list(const discovery::EndpointListUpdate& roster, bool at_start);
 
   void ask_load(ReplicaId replica, const net::Address& at);
-  void look_round();
+  void run_maintenance();
 
   const PlatformConfig environment_;
   const std::shared_ptr<spdlog::logger> log_;
@@ -69,10 +71,11 @@
   std::mutex lock_;
   TableUpdateEncoder channel_;
   EndpointRegistry places_;
-  std::shared_ptr<const routing_state::RoutingSnapshot> version_ = std::make_shared<routing_state::RoutingSnapshot>();
+  std::shared_ptr<const routing_state::RoutingSnapshot> version_ =
+      std::make_shared<routing_state::RoutingSnapshot>();
   std::set<ReplicaId> probed_;  // whose probes wait for their turn
   std::atomic<bool> wants_list_ = false;
-  std::unique_ptr<control_plane::ControllerDriver> desk_;
+  std::unique_ptr<control_plane::ControllerDriver> driver_;
   net::CancellationEvent interrupt_;  // of probes, at the end
   std::unique_ptr<net::ThreadPool> probers_, teller_;
   std::unique_ptr<GossipChannel> peers_;  // null where governors may not talk
--- a/src/platform/stream_server.cpp
+++ b/src/platform/stream_server.cpp
@@ -57,7 +57,9 @@
     streams_.sink_.on_proxy_joined(proxy, zone, rate, fresh);
   }
   void on_collector_hello(ZoneId) override { become(PeerRole::collector); }
-  void on_replica_load_report(const ReplicaLoadReport& sum) override { streams_.sink_.on_replica_load_report(sum); }
+  void on_replica_load_report(const ReplicaLoadReport& sum) override {
+    streams_.sink_.on_replica_load_report(sum);
+  }
   void on_demand_report(ProxyId proxy, const DemandReport& demand) override {
     streams_.sink_.on_demand_report(proxy, demand);
   }
@@ -76,7 +78,8 @@
   Connection& guest_;
 };
 
-StreamServer::StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary, StreamEventHandler& sink)
+StreamServer::StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary,
+                           StreamEventHandler& sink)
     : most_(most),
       vocabulary_(std::move(vocabulary)),
       sink_(sink),
@@ -96,7 +99,7 @@
     try {
       turn();
     } catch (const std::exception& error) {
-      sink_.complain(error.what());
+      sink_.log_peer_error(error.what());
     }
   }
 }
@@ -192,7 +195,7 @@
       refuse(guest, spoilt.what());
       return false;
     }
-    sink_.complain("a message was dropped: " + std::string(spoilt.what()) + shown(*words));
+    sink_.log_peer_error("a message was dropped: " + std::string(spoilt.what()) + shown(*words));
   }
   return true;
 }
@@ -203,7 +206,7 @@
     resp::write(error, {"error", "why", why});
     write(guest, error);
   }
-  sink_.complain("a connection was ended: " + why);
+  sink_.log_peer_error("a connection was ended: " + why);
   end(guest.key);
 }
 
@@ -231,13 +234,13 @@
 }
 
 void StreamServer::write_due() {
-  for (const auto proxy : sink_.due()) {
+  for (const auto proxy : sink_.due_proxies()) {
     const auto joined = joined_.find(proxy);
     if (joined == joined_.end()) continue;
     auto& guest = guests_.at(joined->second);
     // Whoever has not taken the last message gets one later, of all that stands then.
     if (!guest.out.empty()) continue;
-    if (!write(guest, sink_.next_for(proxy))) end(guest.key);
+    if (!write(guest, sink_.next_message(proxy))) end(guest.key);
   }
 }
 
--- a/src/platform/stream_server.h
+++ b/src/platform/stream_server.h
@@ -27,16 +27,17 @@
   virtual void on_demand_report(ProxyId proxy, const DemandReport& demand) = 0;
   virtual void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) = 0;
   // Whom there is something to write to, and the bytes of it, which then count as written.
-  virtual std::vector<ProxyId> due() = 0;
-  virtual std::string next_for(ProxyId proxy) = 0;
-  virtual void complain(const std::string& what) = 0;
+  virtual std::vector<ProxyId> due_proxies() = 0;
+  virtual std::string next_message(ProxyId proxy) = 0;
+  virtual void log_peer_error(const std::string& what) = 0;
 };
 
 class StreamServer {
  public:
   // `most`: connections at once; the oldest that has not joined gives way. Throws net::Error if the address
   // cannot be had. Serves from then on.
-  StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary, StreamEventHandler& sink);
+  StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary,
+               StreamEventHandler& sink);
   ~StreamServer() { stop(); }
   net::Address address() const { return net::local_address(listener_); }
   // There may be something to write. From any thread.
--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -41,7 +41,8 @@
   return view ? view->lines : none;
 }
 
-bool have_same_lines(const std::shared_ptr<const routing_state::RoutingTable>& a, const std::shared_ptr<const routing_state::RoutingTable>& b) {
+bool have_same_lines(const std::shared_ptr<const routing_state::RoutingTable>& a,
+                     const std::shared_ptr<const routing_state::RoutingTable>& b) {
   return a == b || lines_of(a) == lines_of(b);
 }
 
@@ -62,10 +63,11 @@
   due_.erase(id);
 }
 
-void TableUpdateEncoder::ordered(ProxyId id, std::shared_ptr<const routing_state::ProxySnapshot> holding) {
+void TableUpdateEncoder::on_published(ProxyId id,
+                                      std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot) {
   const auto known = proxies_.find(id);
-  if (known == proxies_.end() || !holding) return;
-  known->second.wanted = std::move(holding);
+  if (known == proxies_.end() || !proxy_snapshot) return;
+  known->second.wanted = std::move(proxy_snapshot);
   known->second.shed.clear();
   due_.insert(id);
 }
@@ -93,13 +95,13 @@
 void TableUpdateEncoder::settle_lines(Proxy& proxy, std::vector<Part>& parts) const {
   std::vector<bool> done(classes_.size());
   for (std::size_t k = 0; k < classes_.size(); ++k) {
-    const auto view = proxy.wanted->views[k];
+    const auto view = proxy.wanted->routing_tables[k];
     if (done[k] || !view) continue;
     const auto before = proxy.written[k];
     Part part;
     for (std::size_t other = k; other < classes_.size(); ++other) {
       const auto& written = proxy.written[other];
-      const auto& theirs = proxy.wanted->views[other];
+      const auto& theirs = proxy.wanted->routing_tables[other];
       const bool alike = theirs && have_same_lines(theirs, view) && written.ours == before.ours &&
                          have_same_lines(written.view, before.view);
       if (!alike) continue;
@@ -122,14 +124,15 @@
 void TableUpdateEncoder::settle_terms(Proxy& proxy, std::vector<Part>& parts) const {
   std::vector<bool> done(classes_.size());
   const auto differs = [&](std::size_t k) {
-    return !done[k] && proxy.wanted->views[k] && proxy.wanted->views[k]->terms[k] != proxy.written[k].terms;
+    return !done[k] && proxy.wanted->routing_tables[k] &&
+           proxy.wanted->routing_tables[k]->terms[k] != proxy.written[k].terms;
   };
   for (std::size_t k = 0; k < classes_.size(); ++k) {
     if (!differs(k)) continue;
     Part part;
-    part.terms = &proxy.wanted->views[k]->terms[k];
+    part.terms = &proxy.wanted->routing_tables[k]->terms[k];
     for (std::size_t other = k; other < classes_.size(); ++other) {
-      if (!differs(other) || proxy.wanted->views[other]->terms[other] != *part.terms) continue;
+      if (!differs(other) || proxy.wanted->routing_tables[other]->terms[other] != *part.terms) continue;
       part.classes.push_back(other);
       done[other] = true;
     }
@@ -151,7 +154,8 @@
   return names;
 }
 
-TableUpdateEncoder::Message TableUpdateEncoder::next(ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
+TableUpdateEncoder::Message TableUpdateEncoder::next(
+    ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
   Message message;
   due_.erase(id);
   const auto known = proxies_.find(id);
@@ -234,21 +238,22 @@
 
 std::vector<ReplicaId> TableUpdateEncoder::unheld(const std::vector<ReplicaId>& replicas) const {
   if (replicas.empty()) return {};
-  std::set<const routing_state::RoutingTable*> views;
+  std::set<const routing_state::RoutingTable*> routing_tables;
   for (const auto& [id, proxy] : proxies_) {
-    for (const auto& table : proxy.written) views.insert(table.view.get());
+    for (const auto& table : proxy.written) routing_tables.insert(table.view.get());
     if (!proxy.wanted) continue;
-    for (const auto& view : proxy.wanted->views) views.insert(view.get());
+    for (const auto& view : proxy.wanted->routing_tables) routing_tables.insert(view.get());
   }
-  views.erase(nullptr);
+  routing_tables.erase(nullptr);
   std::vector<ReplicaId> found;
   for (const auto replica : replicas) {
-    const bool held = std::any_of(views.begin(), views.end(), [&](const routing_state::RoutingTable* view) {
-      const auto line =
-          std::lower_bound(view->lines.begin(), view->lines.end(), replica,
-                           [](const routing_state::TableEntry& one, ReplicaId id) { return one.replica < id; });
-      return line != view->lines.end() && line->replica == replica;
-    });
+    const bool held = std::any_of(
+        routing_tables.begin(), routing_tables.end(), [&](const routing_state::RoutingTable* view) {
+          const auto line = std::lower_bound(
+              view->lines.begin(), view->lines.end(), replica,
+              [](const routing_state::TableEntry& one, ReplicaId id) { return one.replica < id; });
+          return line != view->lines.end() && line->replica == replica;
+        });
     if (!held) found.push_back(replica);
   }
   return found;
--- a/src/platform/table_update_encoder.h
+++ b/src/platform/table_update_encoder.h
@@ -28,7 +28,7 @@
   void joined(ProxyId proxy);
   void left(ProxyId proxy);
   // What the proxy is to hold from now on.
-  void ordered(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> holding);
+  void on_published(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot);
   // Joined proxies without tables of ours are to drop these lines from what they brought along.
   void out(const std::vector<ReplicaId>& replicas);
   // The proxy is to answer once it has applied all that stands now. `alone`: also if there is nothing else to
@@ -36,7 +36,7 @@
   void marked(ProxyId proxy, AckRequestId mark, bool alone);
 
   // Whom there is something to write to.
-  const std::set<ProxyId>& due() const { return due_; }
+  const std::set<ProxyId>& due_proxies() const { return due_; }
 
   struct Message {
     std::string bytes;      // empty: nothing differs
@@ -60,9 +60,9 @@
   struct Proxy {
     std::vector<Table> written;  // by class
     std::shared_ptr<const routing_state::ProxySnapshot> wanted;
-    std::vector<ReplicaId> shed;  // lines to drop from what it brought along
-    std::vector<AckRequestId> marks;    // to be asked for
-    bool asks_alone = false;      // for one of them a message is written that has nothing else
+    std::vector<ReplicaId> shed;      // lines to drop from what it brought along
+    std::vector<AckRequestId> marks;  // to be asked for
+    bool asks_alone = false;          // for one of them a message is written that has nothing else
     std::vector<std::pair<std::uint64_t, std::vector<AckRequestId>>> asked;
   };
   // A push to some classes; what is empty is not written.
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -96,7 +96,8 @@
 enum class Breaker { closed, open, half_open };
 
 struct Evidence {
-  DecayingSum attempts{kEvidenceHalfLife}, failed{attempts}, time{attempts}, timed{attempts}, load{attempts}, loads{attempts};
+  DecayingSum attempts{kEvidenceHalfLife}, failed{attempts}, time{attempts}, timed{attempts}, load{attempts},
+      loads{attempts};
   double sound_tries = 0;  // since the return
 };
 
@@ -197,9 +198,10 @@
   double pressure = 0, mean_load = -1, used = 0, uneven = 0;  // the last one of the proxies of a zone
   Row works;                                                  // demand by zone, of all groups
 
-  RetryMode retry = RetryMode::after_rejection_proof, ordered_retry = retry;  // no effect allows more at every class
-  double let_in = 1;                                        // of the work asked for
-  Row levels;                                               // as ordered, by class
+  RetryMode retry = RetryMode::after_rejection_proof,
+            ordered_retry = retry;  // no effect allows more at every class
+  double let_in = 1;                // of the work asked for
+  Row levels;                       // as ordered, by class
   Nanos next_publish{}, channel_at{}, asked_at{};
   double head = stated_head + 1;  // of a message, with its mark
   // The channel: lines ordered ever, those of them up to the last call, and those that left it.
@@ -251,7 +253,8 @@
       class_work.push_back(std::max(1e-3, seconds(cls.latency_objective)));
       class_payoff.push_back(cls.priority_weight / class_work.back());
       const auto group = std::find_if(groups.begin(), groups.end(), [&](const Group& g) {
-        return g.same_zone_only == cls.same_zone_only && g.zones == cls.allowed_zones && g.kinds == cls.allowed_kinds;
+        return g.same_zone_only == cls.same_zone_only && g.zones == cls.allowed_zones &&
+               g.kinds == cls.allowed_kinds;
       });
       class_group.push_back(static_cast<std::size_t>(group - groups.begin()));
       if (group == groups.end()) {
@@ -292,7 +295,9 @@
            !(jams[replica.zone] && cold(replica));
   }
 
-  bool cold(const Replica& replica) const { return replica.started && at < *replica.started + warm_up_duration; }
+  bool cold(const Replica& replica) const {
+    return replica.started && at < *replica.started + warm_up_duration;
+  }
 
   // Mean load as reported, by size where it is a count; -1 where none came.
   double raw_load(const Replica& replica) const {
@@ -419,7 +424,8 @@
         if (at >= replica.reopens) half_open(id, replica);
         continue;
       }
-      const double attempts = replica.evidence.attempts.read(beat), failed = replica.evidence.failed.read(beat);
+      const double attempts = replica.evidence.attempts.read(beat),
+                   failed = replica.evidence.failed.read(beat);
       // Against overload looking like sickness: what fails everywhere is no replica's own fault.
       const double others = (all_failed - failed) / std::max(1.0, all_tries - attempts);
       const bool half = replica.breaker == Breaker::half_open;
@@ -451,7 +457,8 @@
     // line.
     if (replica.fresh && (pressure <= 1 || !falls_cold))
       part = std::max(part, kFloor + (1 - kFloor) * seconds(at - *replica.fresh) / seconds(warm_up_duration));
-    const double age = cold(replica) ? std::max(0.0, seconds(at - *replica.started) / seconds(warm_up_duration)) : 1;
+    const double age =
+        cold(replica) ? std::max(0.0, seconds(at - *replica.started) / seconds(warm_up_duration)) : 1;
     return std::min({1.0, part, initial_warm_up_capacity + (1 - initial_warm_up_capacity) * age});
   }
 
@@ -498,7 +505,8 @@
     if (rounds % kStepRounds != 0) return;
     double all = 0, count = 0;
     const auto steps = [&](const Replica& replica) {
-      return replica.phase == EndpointPhase::ready && replica.breaker == Breaker::closed && load_of(replica) >= 0;
+      return replica.phase == EndpointPhase::ready && replica.breaker == Breaker::closed &&
+             load_of(replica) >= 0;
     };
     for (const auto& [id, replica] : replicas) {
       if (steps(replica)) all += load_of(replica), count += 1;
@@ -551,7 +559,8 @@
   void deal(Replica& replica) {
     Row taken(blocks[replica.zone]);
     for (const auto& [id, other] : replicas) {
-      const bool mate = &other != &replica && other.zone == replica.zone && other.phase != EndpointPhase::gone;
+      const bool mate =
+          &other != &replica && other.zone == replica.zone && other.phase != EndpointPhase::gone;
       if (!mate || other.block >= taken.size()) continue;
       taken[other.block] += 1 + (other.cell == replica.cell) + 0.5 * (other.kind == replica.kind);
     }
@@ -792,7 +801,8 @@
       // What drains or is gone for good leaves the tables in one go, and so never costs a second line.
       for (std::size_t t = 0; t < held.size() * groups.size() && replica.phase != EndpointPhase::ready; ++t) {
         const auto s = held[t / groups.size()], g = t % groups.size();
-        if (replica.withdrawn && subsets[s].standing[g].erase(id) > 0) host.set_table_entry(table_id(s, g), id, 0);
+        if (replica.withdrawn && subsets[s].standing[g].erase(id) > 0)
+          host.set_table_entry(table_id(s, g), id, 0);
       }
       if (replica.withdrawn) host.set_ejected(id, true);
       // No later order may take the next message of those that wait for this one.
@@ -1019,13 +1029,15 @@
 Controller::Controller(Controller&&) noexcept = default;
 Controller& Controller::operator=(Controller&&) noexcept = default;
 
-void Controller::on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries) {
+void Controller::on_endpoint_list(Nanos now, EndpointListKind kind,
+                                  const std::vector<EndpointUpdate>& entries) {
   auto& s = *state_;
   s.tick(now);
   s.list_failures = 0;
   std::set<ReplicaId> named;  // in a list of changes those that are gone, else those that are not
   for (const auto& entry : entries) {
-    if ((entry.phase == EndpointPhase::gone) == (kind == EndpointListKind::changes)) named.insert(entry.replica);
+    if ((entry.phase == EndpointPhase::gone) == (kind == EndpointListKind::changes))
+      named.insert(entry.replica);
     if (entry.phase != EndpointPhase::gone) s.take_entry(entry, kind == EndpointListKind::cached);
   }
   std::vector<Replica*> dropped;
@@ -1049,7 +1061,8 @@
   s.host.start_timer(nanos(0.5 * (1 << s.list_failures) * spread(s.chance)), kWatchTimer);
 }
 
-void Controller::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second, bool) {
+void Controller::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second,
+                                 bool) {
   auto& s = *state_;
   s.tick(now);
   on_proxy_left(now, proxy);
--- a/src/policy/controller.h
+++ b/src/policy/controller.h
@@ -58,8 +58,8 @@
   AdmissionMode admission = AdmissionMode::ignored;
   PickingPolicy picking = PickingPolicy::weighted;
   std::size_t governors = 1;
-  std::size_t proxies = 0;       // of all governors
-  bool proxies_by_zone = false;  // a proxy joins a governor of its zone if there is one
+  std::size_t proxies = 0;             // of all governors
+  bool proxies_by_zone = false;        // a proxy joins a governor of its zone if there is one
   double min_replica_connections = 0;  // that the smallest replica accepts
   std::size_t slices = 0;
   bool slices_exclusive = false;
--- a/src/record/action_encoder.cpp
+++ b/src/record/action_encoder.cpp
@@ -34,7 +34,7 @@
   auto& to = *entry_.add_orders()->mutable_set_level();
   to.set_table(number(table));
   to.set_classes(classes);
-  to.set_admitted_fraction(level);
+  to.set_level(level);
   to.set_retry(number(retry));
 }
 void ActionEncoder::request_acknowledgement(AckRequestId mark, bool reach_all) {
@@ -49,7 +49,9 @@
 }
 void ActionEncoder::watch_endpoint_list(bool on) { entry_.add_orders()->set_watch_list(on); }
 void ActionEncoder::refresh_endpoint_list() { entry_.add_orders()->set_look_up_list(true); }
-void ActionEncoder::request_health_check(ReplicaId replica) { entry_.add_orders()->set_probe(number(replica)); }
+void ActionEncoder::request_health_check(ReplicaId replica) {
+  entry_.add_orders()->set_probe(number(replica));
+}
 void ActionEncoder::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
   auto& to = *entry_.add_orders()->mutable_tell();
   if (peer) to.set_peer(number(*peer));
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -136,6 +136,8 @@
   return damage;
 }
 
-Corruption visit(const std::vector<std::string>& files, Visitor& visitor) { return visit(files, {}, visitor); }
+Corruption visit(const std::vector<std::string>& files, Visitor& visitor) {
+  return visit(files, {}, visitor);
+}
 
 }  // namespace ospreypost::record
--- a/src/record/recording_controller.cpp
+++ b/src/record/recording_controller.cpp
@@ -31,8 +31,8 @@
   writer_->append(now, text_);
 }
 
-RecordingController::RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host, Writer* writer,
-         const std::string& configuration)
+RecordingController::RecordingController(const Settings& settings, std::uint64_t seed, Nanos now,
+                                         ActionSink& host, Writer* writer, const std::string& configuration)
     : host_(host), writer_(writer), entry_(std::make_unique<Entry>()), notes_(*entry_) {
   call(
       now,
@@ -41,14 +41,17 @@
         begin.set_configuration(configuration);
         begin.set_wall(Nanos(std::chrono::system_clock::now().time_since_epoch()).count());
       },
-      [&] { governor_ = std::make_unique<Controller>(settings, seed, now, static_cast<ActionSink&>(*this)); });
+      [&] {
+        governor_ = std::make_unique<Controller>(settings, seed, now, static_cast<ActionSink&>(*this));
+      });
 }
 
 RecordingController::~RecordingController() = default;
 
 // --- Calls
 
-void RecordingController::on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries) {
+void RecordingController::on_endpoint_list(Nanos now, EndpointListKind kind,
+                                           const std::vector<EndpointUpdate>& entries) {
   call(
       now,
       [&](Entry& entry) {
@@ -69,9 +72,11 @@
 }
 void RecordingController::on_endpoint_list_failed(Nanos now) {
   call(
-      now, [](Entry& entry) { entry.set_list_failed(true); }, [&] { governor_->on_endpoint_list_failed(now); });
+      now, [](Entry& entry) { entry.set_list_failed(true); },
+      [&] { governor_->on_endpoint_list_failed(now); });
 }
-void RecordingController::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_rate, bool fresh) {
+void RecordingController::on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_rate,
+                                          bool fresh) {
   call(
       now,
       [&](Entry& entry) {
@@ -88,7 +93,8 @@
       now, [&](Entry& entry) { entry.set_proxy_left(number(proxy)); },
       [&] { governor_->on_proxy_left(now, proxy); });
 }
-void RecordingController::on_replica_load_report(Nanos now, const ReplicaLoadReport& sum, const Origin& origin) {
+void RecordingController::on_replica_load_report(Nanos now, const ReplicaLoadReport& sum,
+                                                 const Origin& origin) {
   call(
       now,
       [&](Entry& entry) {
@@ -185,7 +191,8 @@
   notes_.set_ejected(replica, out);
   host_.set_ejected(replica, out);
 }
-void RecordingController::set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) {
+void RecordingController::set_admitted_fraction(TableId table, ClassMask classes, double level,
+                                                RetryMode retry) {
   notes_.set_admitted_fraction(table, classes, level, retry);
   host_.set_admitted_fraction(table, classes, level, retry);
 }
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
+#include "policy/controller.h"
 #include "record/action_encoder.h"
 #include "record/origin.h"
-#include "policy/controller.h"
 
 namespace ospreypost::record {
 
@@ -16,8 +16,8 @@
 class RecordingController : private ActionSink {
  public:
   // `configuration`: as the file gave it. `writer` may be null; else it must outlive this, as must the host.
-  RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host, Writer* writer,
-      const std::string& configuration);
+  RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host,
+                      Writer* writer, const std::string& configuration);
   ~RecordingController() override;
 
   void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
--- a/src/replay/export_day.cpp
+++ b/src/replay/export_day.cpp
@@ -43,8 +43,8 @@
 
 class Exporting {
  public:
-  Exporting(const simulation::History& history, const simulation::Deployment& deployment, const simulation::Fleet& fleet,
-            const std::vector<std::string>& kinds)
+  Exporting(const simulation::History& history, const simulation::Deployment& deployment,
+            const simulation::Fleet& fleet, const std::vector<std::string>& kinds)
       : history_(history), deployment_(deployment), fleet_(fleet), kinds_(kinds) {
     // A day's clock starts when its proxies have their tables; a record's, when the governor does.
     for (const auto& report : history.reports) {
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -32,8 +32,8 @@
       const auto& list = entry.list_received();
       return list.kind() <= static_cast<std::uint32_t>(EndpointListKind::cached) &&
              std::all_of(list.entries().begin(), list.entries().end(), [](const auto& line) {
-               return line.phase() <= static_cast<std::uint32_t>(EndpointPhase::gone) && is_time(line.started()) &&
-                      std::isfinite(line.weight());
+               return line.phase() <= static_cast<std::uint32_t>(EndpointPhase::gone) &&
+                      is_time(line.started()) && std::isfinite(line.weight());
              });
     }
     case Entry::kProxyJoined:
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -41,8 +41,8 @@
     case Entry::kProxyJoined: {
       const auto& joined = entry.proxy_joined();
       governor.on_proxy_joined(now, ProxyId{static_cast<std::uint16_t>(joined.proxy())},
-                            ZoneId{static_cast<std::uint16_t>(joined.zone())}, joined.usual_rate(),
-                            joined.fresh());
+                               ZoneId{static_cast<std::uint16_t>(joined.zone())}, joined.usual_rate(),
+                               joined.fresh());
       return true;
     }
     case Entry::kProxyLeft:
@@ -58,20 +58,20 @@
     case Entry::kDemandSummed: {
       const auto& from = entry.demand_summed();
       governor.on_demand_report(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
-                             {ClassId{static_cast<std::uint16_t>(from.cls())}, from.operations(),
-                              from.unanswered(), Nanos(from.span())});
+                                {ClassId{static_cast<std::uint16_t>(from.cls())}, from.operations(),
+                                 from.unanswered(), Nanos(from.span())});
       return true;
     }
     case Entry::kOrdersApplied: {
       const auto& from = entry.orders_applied();
-      governor.on_acknowledged(now, ProxyId{static_cast<std::uint16_t>(from.proxy())}, AckRequestId{from.mark()},
-                              Nanos(from.took()));
+      governor.on_acknowledged(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
+                               AckRequestId{from.mark()}, Nanos(from.took()));
       return true;
     }
     case Entry::kProbeAnswered: {
       const auto& from = entry.probe_answered();
       governor.on_health_check_result(now, {ReplicaId{from.replica()}, from.answered(), from.refused(),
-                                    Nanos(from.took()), load(from.load())});
+                                            Nanos(from.took()), load(from.load())});
       return true;
     }
     case Entry::kTimerDue:
@@ -79,7 +79,7 @@
       return true;
     case Entry::kPeerSaid:
       governor.on_peer_message(now, PeerId{static_cast<std::uint16_t>(entry.peer_said().peer())},
-                         entry.peer_said().message());
+                               entry.peer_said().message());
       return true;
     case Entry::kBegin:
     case Entry::kNamed:
--- a/src/routing_state/lease_table.cpp
+++ b/src/routing_state/lease_table.cpp
@@ -4,7 +4,7 @@
 
 namespace ospreypost::routing_state {
 
-LeaseTable::Standing LeaseTable::met(ProxyId proxy, const RemoteState& met) {
+LeaseTable::Standing LeaseTable::observe(ProxyId proxy, const RemoteState& met) {
   auto [known, first] = epochs_.try_emplace(proxy, start_);
   auto& epoch = known->second;
   if (first) {
@@ -23,4 +23,4 @@
   return known == epochs_.end() ? 0 : known->second;
 }
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/lease_table.h
+++ b/src/routing_state/lease_table.h
@@ -26,7 +26,7 @@
   std::string owner;   // the process that ordered it
   bool stale = false;  // nobody who holds it has spoken within its lease
   // After a way back by hand: the replicas that it goes by instead of the newest's, by name.
-  std::vector<std::string> instead;
+  std::vector<std::string> rolled_back_to;
 };
 
 class LeaseTable {
@@ -39,7 +39,7 @@
     claimed,  // ours from now on; what lies there is not of this claim
     theirs,
   };
-  Standing met(ProxyId proxy, const RemoteState& met);
+  Standing observe(ProxyId proxy, const RemoteState& met);
   // To order by; 0 before the first claim.
   std::uint64_t epoch(ProxyId proxy) const;
   const std::string& owner() const { return owner_; }
@@ -50,4 +50,4 @@
   std::map<ProxyId, std::uint64_t> epochs_;  // of those met
 };
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/pull_delivery.cpp
+++ b/src/routing_state/pull_delivery.cpp
@@ -16,17 +16,20 @@
 }  // namespace
 
 bool presses(const ProxySnapshot& given, const ProxySnapshot& standing) {
-  for (std::size_t k = 0; k < given.views.size(); ++k) {
-    if (!given.views[k]) continue;
-    const bool bound = k < standing.views.size() && standing.views[k];
-    if (bound ? presses(*given.views[k], *standing.views[k]) : !given.views[k]->lines.empty()) return true;
+  for (std::size_t k = 0; k < given.routing_tables.size(); ++k) {
+    if (!given.routing_tables[k]) continue;
+    const bool bound = k < standing.routing_tables.size() && standing.routing_tables[k];
+    if (bound ? presses(*given.routing_tables[k], *standing.routing_tables[k])
+              : !given.routing_tables[k]->lines.empty())
+      return true;
   }
   return false;
 }
 
-std::size_t size_of(const ProxySnapshot& holding) {
+std::size_t size_of(const ProxySnapshot& proxy_snapshot) {
   std::size_t lines = 0;
-  for (const auto& view : holding.views) lines += view ? 1 + view->lines.size() + view->terms.size() : 0;
+  for (const auto& view : proxy_snapshot.routing_tables)
+    lines += view ? 1 + view->lines.size() + view->terms.size() : 0;
   return lines;
 }
 
@@ -39,12 +42,12 @@
 PullDelivery::PullDelivery(const ChannelLimits& limits)
     : head_lines_(limits.head_lines), limit_(limits.max_messages_per_window, limits.window) {}
 
-void PullDelivery::joined(Nanos now, ProxyId proxy) {
-  left(proxy);
+void PullDelivery::add_proxy(Nanos now, ProxyId proxy) {
+  remove_proxy(proxy);
   proxies_[proxy].bucket = limit_.full(now);
 }
 
-void PullDelivery::left(ProxyId proxy) {
+void PullDelivery::remove_proxy(ProxyId proxy) {
   const auto known = proxies_.find(proxy);
   if (known == proxies_.end()) return;
   counts_.waiting -= known->second.waiting;
@@ -57,15 +60,16 @@
   counts_.worst_waiting = std::max(counts_.worst_waiting, counts_.waiting);
 }
 
-void PullDelivery::ordered(Nanos, ProxyId id, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines) {
+void PullDelivery::on_published(Nanos, ProxyId id, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
+                                std::size_t lines) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
-  proxy.standing = std::move(holding);
+  proxy.standing = std::move(proxy_snapshot);
   wait(proxy, merged(proxy.waiting, lines, *proxy.standing, head_lines_));
 }
 
-std::shared_ptr<const ProxySnapshot> PullDelivery::take(Nanos now, ProxyId id) {
+std::shared_ptr<const ProxySnapshot> PullDelivery::take_answer(Nanos now, ProxyId id) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return nullptr;
   auto& proxy = known->second;
@@ -82,14 +86,15 @@
   return proxy.given;
 }
 
-void PullDelivery::request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with, const std::vector<ProxyId>& by) {
+void PullDelivery::request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with,
+                                           const std::vector<ProxyId>& by) {
   for (const auto id : by) {
     const auto known = proxies_.find(id);
     if (known != proxies_.end()) known->second.marks.push_back({mark, reached_with, now});
   }
 }
 
-std::vector<PullDelivery::Reached> PullDelivery::reached(Nanos now, ProxyId id) {
+std::vector<PullDelivery::Reached> PullDelivery::take_acknowledged(Nanos now, ProxyId id) {
   std::vector<Reached> told;
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return told;
@@ -105,4 +110,4 @@
   return told;
 }
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/pull_delivery.h
+++ b/src/routing_state/pull_delivery.h
@@ -11,13 +11,13 @@
 #include <memory>
 #include <vector>
 
-#include "routing_state/token_bucket_limiter.h"
 #include "routing_state/routing_snapshot.h"
+#include "routing_state/token_bucket_limiter.h"
 
 namespace ospreypost::routing_state {
 
 struct ChannelLimits {
-  double head_lines = 0;             // of each message
+  double head_lines = 0;                    // of each message
   std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
 };
@@ -26,24 +26,26 @@
  public:
   explicit PullDelivery(const ChannelLimits& limits);
 
-  void joined(Nanos now, ProxyId proxy);
-  void left(ProxyId proxy);
+  void add_proxy(Nanos now, ProxyId proxy);
+  void remove_proxy(ProxyId proxy);
   // `holding` is what now stands for the proxy, `lines` what changed with it.
-  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines);
+  void on_published(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
+                    std::size_t lines);
 
   // What the proxy may be answered from at this moment. Null when nothing can be said that keeps the rules:
   // it has not joined, is bound to nothing, or what it was last given names a replica that is withdrawn since
   // and no message is left.
-  std::shared_ptr<const ProxySnapshot> take(Nanos now, ProxyId proxy);
+  std::shared_ptr<const ProxySnapshot> take_answer(Nanos now, ProxyId proxy);
 
-  void request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with, const std::vector<ProxyId>& by);
+  void request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with,
+                               const std::vector<ProxyId>& by);
   struct Reached {
     AckRequestId mark{};
     ProxyId proxy{};
     Nanos took{};
   };
   // The marks that the proxy has reached with what it was last given, each told once.
-  std::vector<Reached> reached(Nanos now, ProxyId proxy);
+  std::vector<Reached> take_acknowledged(Nanos now, ProxyId proxy);
 
   struct Counts {
     double waiting = 0;          // lines
@@ -75,7 +77,7 @@
 };
 
 // The lines that the whole of a holding takes, terms included.
-std::size_t size_of(const ProxySnapshot& holding);
+std::size_t size_of(const ProxySnapshot& proxy_snapshot);
 // What waits for a proxy when `lines` more come to `waiting` that do: merged, so that it never passes what
 // the whole of its tables would be, head included.
 double merged(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines);
@@ -84,4 +86,4 @@
 // is no longer there, or with less than half of its former weight.
 bool presses(const ProxySnapshot& given, const ProxySnapshot& standing);
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/push_scheduler.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -19,15 +19,16 @@
 
 }  // namespace
 
-PushScheduler::PushScheduler(const PushLimits& limits) : limits_(limits), limit_(limits.max_messages_per_window, limits.window) {}
+PushScheduler::PushScheduler(const PushLimits& limits)
+    : limits_(limits), limit_(limits.max_messages_per_window, limits.window) {}
 
-void PushScheduler::introduce(Nanos now, ProxyId proxy) {
+void PushScheduler::add_known(Nanos now, ProxyId proxy) {
   auto& fresh = proxies_[proxy];
   fresh.bucket = limit_.full(now);
   fresh.not_before = now;
 }
 
-void PushScheduler::joined(Nanos now, ProxyId id, bool fresh) {
+void PushScheduler::on_joined(Nanos now, ProxyId id, bool fresh) {
   auto& proxy = proxies_.at(id);
   wait(proxy, 0);
   // Who has a table had messages of somebody: of this process before it gave up, of another, of its own past.
@@ -39,18 +40,18 @@
   proxy.spoke = proxy.not_before = now;
 }
 
-bool PushScheduler::met(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
+bool PushScheduler::on_liveness(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
   const auto& proxy = proxies_.at(id);
-  const auto is = [&](const std::shared_ptr<const ProxySnapshot>& holding) {
-    return version ? holding && holding->since == *version : !holding;
+  const auto is = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
+    return version ? proxy_snapshot && proxy_snapshot->since == *version : !proxy_snapshot;
   };
   // Before the first push it goes by what it came with, and is waited for like that.
   const bool untouched = !proxy.given && !proxy.sent;
   if (proxy.joined && (untouched || is(proxy.given) || is(proxy.sent))) {
-    taken(now, id, {});
+    on_confirmed(now, id, {});
     return false;
   }
-  joined(now, id, !version);
+  on_joined(now, id, !version);
   return true;
 }
 
@@ -69,33 +70,35 @@
   if (presses && !proxy.pressing_since) proxy.pressing_since = now;
 }
 
-void PushScheduler::went_back(Nanos now, ProxyId id, std::set<ReplicaId> instead) {
+void PushScheduler::on_rollback(Nanos now, ProxyId id, std::set<ReplicaId> rolled_back_to) {
   auto& proxy = proxies_.at(id);
   if (!proxy.joined || !proxy.standing) return;
   // The proxy was shown other tables, by whomever.
-  if (!instead.empty() && instead != proxy.instead) TokenBucketLimiter::take(proxy.bucket);
-  proxy.instead = std::move(instead);
+  if (!rolled_back_to.empty() && rolled_back_to != proxy.rolled_back_to)
+    TokenBucketLimiter::take(proxy.bucket);
+  proxy.rolled_back_to = std::move(rolled_back_to);
   note_recall(now, proxy);
 }
 
 void PushScheduler::note_recall(Nanos now, Proxy& proxy) const {
-  proxy.recall = std::any_of(proxy.instead.begin(), proxy.instead.end(),
+  proxy.recall = std::any_of(proxy.rolled_back_to.begin(), proxy.rolled_back_to.end(),
                              [&](ReplicaId replica) { return out_.contains(replica); });
   press(now, proxy);
 }
 
-void PushScheduler::out(Nanos now, std::set<ReplicaId> replicas) {
+void PushScheduler::on_ejected(Nanos now, std::set<ReplicaId> replicas) {
   out_ = std::move(replicas);
   for (auto& [id, proxy] : proxies_) {
-    if (!proxy.instead.empty()) note_recall(now, proxy);
+    if (!proxy.rolled_back_to.empty()) note_recall(now, proxy);
   }
 }
 
-void PushScheduler::ordered(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines) {
+void PushScheduler::on_published(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
+                                 std::size_t lines) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end() || !known->second.joined) return;
   auto& proxy = known->second;
-  proxy.standing = std::move(holding);
+  proxy.standing = std::move(proxy_snapshot);
   wait(proxy, merged(proxy.waiting, lines, *proxy.standing, limits_.head_lines));
   const bool pressed = proxy.pressing_since.has_value();
   press(now, proxy);
@@ -103,7 +106,7 @@
   if (proxy.pressing_since && !pressed) proxy.not_before = std::min(proxy.not_before, now);
 }
 
-std::optional<PendingPush> PushScheduler::next(Nanos now) {
+std::optional<PendingPush> PushScheduler::take_push(Nanos now) {
   // Withdrawals by age, then proxies that have nothing at all, then plain changes, then signs of life.
   std::pair<const ProxyId, Proxy>* best = nullptr;
   std::tuple<int, Nanos> best_rank;
@@ -132,10 +135,10 @@
   }
   proxy.sent = proxy.standing;
   ++counts_.pushes;
-  return PendingPush{best->first, proxy.sent, !proxy.instead.empty()};
+  return PendingPush{best->first, proxy.sent, !proxy.rolled_back_to.empty()};
 }
 
-std::optional<Nanos> PushScheduler::wake(Nanos now) const {
+std::optional<Nanos> PushScheduler::next_wake_up(Nanos now) const {
   std::optional<Nanos> first;
   for (const auto& [id, proxy] : proxies_) {
     if (proxy.under_way) continue;
@@ -150,7 +153,7 @@
   return first;
 }
 
-void PushScheduler::taken(Nanos now, ProxyId id, SnapshotVersion since) {
+void PushScheduler::on_confirmed(Nanos now, ProxyId id, SnapshotVersion since) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
@@ -161,13 +164,13 @@
   // A confirmation of something older, late or twice, tells that it lives and no more.
   if (!proxy.sent || proxy.sent->since != since) return;
   proxy.given = proxy.sent;
-  proxy.instead.clear();
+  proxy.rolled_back_to.clear();
   proxy.recall = false;
   if (proxy.given == proxy.standing) wait(proxy, 0);
   press(now, proxy);
 }
 
-void PushScheduler::failed(Nanos now, ProxyId id) {
+void PushScheduler::on_failed(Nanos now, ProxyId id) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   auto& proxy = known->second;
@@ -177,7 +180,7 @@
   proxy.not_before = now + proxy.pause;
 }
 
-std::vector<ProxyId> PushScheduler::lost(Nanos now) {
+std::vector<ProxyId> PushScheduler::take_lost(Nanos now) {
   std::vector<ProxyId> given_up;
   for (auto& [id, proxy] : proxies_) {
     const bool unheld = proxy.pressing_since && now >= *proxy.pressing_since + limits_.press_most;
@@ -194,22 +197,22 @@
   wait(proxy, 0);
   proxy.joined = false;
   proxy.given = proxy.sent = proxy.standing = nullptr;
-  proxy.instead.clear();
+  proxy.rolled_back_to.clear();
   proxy.recall = false;
   proxy.pressing_since.reset();
 }
 
-void PushScheduler::refused(Nanos now, ProxyId id) {
-  failed(now, id);
+void PushScheduler::on_rejected(Nanos now, ProxyId id) {
+  on_failed(now, id);
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   give_up(known->second);
   known->second.not_before = now + kPauseMost;
 }
 
-bool PushScheduler::held(ProxyId id) const {
+bool PushScheduler::is_held(ProxyId id) const {
   const auto known = proxies_.find(id);
   return known != proxies_.end() && known->second.joined;
 }
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/push_scheduler.h
+++ b/src/routing_state/push_scheduler.h
@@ -12,14 +12,14 @@
 #include <set>
 #include <vector>
 
-#include "routing_state/token_bucket_limiter.h"
 #include "routing_state/routing_snapshot.h"
+#include "routing_state/token_bucket_limiter.h"
 
 namespace ospreypost::routing_state {
 
 struct PushLimits {
-  double head_lines = 0;             // of each message
-  double lines_per_second = 1;       // of the channel; withdrawals do not wait for it
+  double head_lines = 0;                    // of each message
+  double lines_per_second = 1;              // of the channel; withdrawals do not wait for it
   std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
   Nanos press_most{};  // that a withdrawal may stay unconfirmed: the grace less the way there
@@ -28,7 +28,7 @@
 
 struct PendingPush {
   ProxyId proxy{};
-  std::shared_ptr<const ProxySnapshot> holding;
+  std::shared_ptr<const ProxySnapshot> proxy_snapshot;
   bool recall = false;  // in place of what somebody went back to by hand
 };
 
@@ -37,33 +37,34 @@
   explicit PushScheduler(const PushLimits& limits);
 
   // Known from the start; tried at once and, while it does not answer, after growing pauses.
-  void introduce(Nanos now, ProxyId proxy);
+  void add_known(Nanos now, ProxyId proxy);
   // It answered. `fresh`: it goes by no table yet; else nobody knows by which, and one must reach it in time.
-  void joined(Nanos now, ProxyId proxy, bool fresh);
+  void on_joined(Nanos now, ProxyId proxy, bool fresh);
   // It answered a sign of life: the newest that lies there is of that version, or nothing does. True if it
   // joins by that, anew if what lies there is not what it was sent.
-  bool met(Nanos now, ProxyId proxy, std::optional<SnapshotVersion> version);
+  bool on_liveness(Nanos now, ProxyId proxy, std::optional<SnapshotVersion> version);
   // Somebody went back by hand to tables of these replicas. That stands until something newer is ordered, or
   // one of them may be sent to no more: then it is recalled, as pressing as any withdrawal.
-  void went_back(Nanos now, ProxyId proxy, std::set<ReplicaId> instead);
+  void on_rollback(Nanos now, ProxyId proxy, std::set<ReplicaId> rolled_back_to);
   // Whom nobody may send to now.
-  void out(Nanos now, std::set<ReplicaId> replicas);
-  void ordered(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> holding, std::size_t lines);
+  void on_ejected(Nanos now, std::set<ReplicaId> replicas);
+  void on_published(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
+                    std::size_t lines);
 
   // What should be sent now, if anything; it counts as under way until `taken` or `failed`. A null holding
   // asks for a sign of life only.
-  std::optional<PendingPush> next(Nanos now);
+  std::optional<PendingPush> take_push(Nanos now);
   // When `next` could have something to offer without anything else happening; empty if never.
-  std::optional<Nanos> wake(Nanos now) const;
+  std::optional<Nanos> next_wake_up(Nanos now) const;
   // It has confirmed what was under way, and goes by it.
-  void taken(Nanos now, ProxyId proxy, SnapshotVersion since);
+  void on_confirmed(Nanos now, ProxyId proxy, SnapshotVersion since);
   // Refused, lost, or not in time: what it goes by is unknown.
-  void failed(Nanos now, ProxyId proxy);
+  void on_failed(Nanos now, ProxyId proxy);
   // Refused by one that follows somebody else: it is not ours, until it joins again.
-  void refused(Nanos now, ProxyId proxy);
+  void on_rejected(Nanos now, ProxyId proxy);
   // Those that are given up on; each is named once.
-  std::vector<ProxyId> lost(Nanos now);
-  bool held(ProxyId proxy) const;
+  std::vector<ProxyId> take_lost(Nanos now);
+  bool is_held(ProxyId proxy) const;
 
   struct Counts {
     double waiting = 0, worst_waiting = 0;  // lines
@@ -78,7 +79,7 @@
     std::shared_ptr<const ProxySnapshot> given, sent, standing;
     // With what it may go by, it could send where it must not: since when. A failed push may have been taken.
     std::optional<Nanos> pressing_since;
-    std::set<ReplicaId> instead;  // of its tables, if somebody went back
+    std::set<ReplicaId> rolled_back_to;  // of its tables, if somebody went back
     bool recall = false;
     double waiting = 0;
     TokenBucketLimiter::Bucket bucket;
@@ -101,4 +102,4 @@
   Counts counts_;
 };
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/routing_snapshot.h
+++ b/src/routing_state/routing_snapshot.h
@@ -35,30 +35,31 @@
 // What one proxy is to hold: a view for each class; null where it is bound to no table for that class.
 struct ProxySnapshot {
   SnapshotVersion since{};  // the version that last changed it
-  std::vector<std::shared_ptr<const RoutingTable>> views;
+  std::vector<std::shared_ptr<const RoutingTable>> routing_tables;
 };
 
 struct RoutingSnapshot {
   SnapshotVersion number{};
   Nanos at{};
-  std::vector<std::pair<ProxyId, std::shared_ptr<const ProxySnapshot>>> holdings;  // by ascending proxy
+  std::vector<std::pair<ProxyId, std::shared_ptr<const ProxySnapshot>>>
+      proxy_snapshots;  // by ascending proxy
 
   // Who a mark made with this version asks for an answer: whom it changed, or everybody.
   std::vector<ProxyId> marked(bool reach_all) const {
     std::vector<ProxyId> by;
-    for (const auto& [proxy, holding] : holdings) {
-      if (reach_all || holding->since == number) by.push_back(proxy);
+    for (const auto& [proxy, proxy_snapshot] : proxy_snapshots) {
+      if (reach_all || proxy_snapshot->since == number) by.push_back(proxy);
     }
     return by;
   }
 
   // Null for a proxy that has not joined or is bound to nothing yet.
-  std::shared_ptr<const ProxySnapshot> holding_of(ProxyId proxy) const {
-    const auto at_or_after = std::lower_bound(holdings.begin(), holdings.end(), proxy,
+  std::shared_ptr<const ProxySnapshot> snapshot_of(ProxyId proxy) const {
+    const auto at_or_after = std::lower_bound(proxy_snapshots.begin(), proxy_snapshots.end(), proxy,
                                               [](const auto& entry, ProxyId id) { return entry.first < id; });
-    if (at_or_after == holdings.end() || at_or_after->first != proxy) return nullptr;
+    if (at_or_after == proxy_snapshots.end() || at_or_after->first != proxy) return nullptr;
     return at_or_after->second;
   }
 };
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/routing_state.cpp
+++ b/src/routing_state/routing_state.cpp
@@ -57,12 +57,12 @@
   }
 }
 
-void RoutingState::joined(ProxyId proxy) {
+void RoutingState::add_proxy(ProxyId proxy) {
   proxies_[proxy] = Proxy{std::vector<std::optional<TableId>>(classes_), nullptr};
   members_changed_ = true;
 }
 
-void RoutingState::left(ProxyId proxy) {
+void RoutingState::remove_proxy(ProxyId proxy) {
   members_changed_ = proxies_.erase(proxy) > 0 || members_changed_;
   rebound_.erase(proxy);
 }
@@ -109,7 +109,7 @@
   auto version = std::make_shared<RoutingSnapshot>();
   version->number = last_;
   version->at = now;
-  version->holdings.reserve(proxies_.size());
+  version->proxy_snapshots.reserve(proxies_.size());
   Published published;
   for (auto& [id, proxy] : proxies_) {
     std::set<TableId> own;
@@ -124,15 +124,15 @@
       if (!bound_anew && renewed.contains(table)) lines += tables_.at(table).ordered;
     }
     if (lines > 0) {
-      auto holding = std::make_shared<ProxySnapshot>();
-      holding->since = last_;
+      auto proxy_snapshot = std::make_shared<ProxySnapshot>();
+      proxy_snapshot->since = last_;
       for (const auto& table : proxy.tables) {
-        holding->views.push_back(table ? tables_.at(*table).view : nullptr);
+        proxy_snapshot->routing_tables.push_back(table ? tables_.at(*table).view : nullptr);
       }
-      proxy.holding = std::move(holding);
+      proxy.proxy_snapshot = std::move(proxy_snapshot);
       published.pending.push_back({id, lines});
     }
-    if (proxy.holding) version->holdings.emplace_back(id, proxy.holding);
+    if (proxy.proxy_snapshot) version->proxy_snapshots.emplace_back(id, proxy.proxy_snapshot);
   }
   for (const auto id : touched_) tables_.at(id).ordered = 0;
   touched_.clear();
@@ -142,4 +142,4 @@
   return published;
 }
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/routing_state.h
+++ b/src/routing_state/routing_state.h
@@ -21,11 +21,11 @@
   void bind(ProxyId proxy, TableId table, ClassMask classes);
   void set_ejected(ReplicaId replica, bool out);
   void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry);
-  void joined(ProxyId proxy);  // bound to nothing until a binding comes
-  void left(ProxyId proxy);
+  void add_proxy(ProxyId proxy);  // bound to nothing until a binding comes
+  void remove_proxy(ProxyId proxy);
 
   // Whether anything was ordered, or anybody came or went, since the last version.
-  bool changed() const { return !touched_.empty() || !rebound_.empty() || members_changed_; }
+  bool has_changes() const { return !touched_.empty() || !rebound_.empty() || members_changed_; }
 
   // What changed for a proxy with a version, in lines as a message would carry them.
   struct Pending {
@@ -48,7 +48,7 @@
   };
   struct Proxy {
     std::vector<std::optional<TableId>> tables;  // by class
-    std::shared_ptr<const ProxySnapshot> holding;
+    std::shared_ptr<const ProxySnapshot> proxy_snapshot;
   };
   std::vector<std::size_t> named(ClassMask classes) const;
   RoutingTable view_of(const Table& table) const;
@@ -65,4 +65,4 @@
   SnapshotVersion last_{};
 };
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/routing_state/token_bucket_limiter.h
+++ b/src/routing_state/token_bucket_limiter.h
@@ -46,4 +46,4 @@
   const double depth_, per_second_;
 };
 
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/src/scenario/child_process.cpp
+++ b/src/scenario/child_process.cpp
@@ -98,4 +98,4 @@
   return net::Steady::now() - asked;
 }
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/child_process.h
+++ b/src/scenario/child_process.h
@@ -31,4 +31,4 @@
   pid_t process_ = -1;
 };
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/composed.cpp
+++ b/src/scenario/composed.cpp
@@ -118,4 +118,4 @@
   return composers().at(element.name())(element, script);
 }
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/composed.h
+++ b/src/scenario/composed.h
@@ -11,4 +11,4 @@
 // Throws config::Faulty. The script must have its fleet.
 std::vector<Fault> compose(const config::Element& element, const Scenario& script);
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/run.cpp
+++ b/src/scenario/run.cpp
@@ -9,9 +9,9 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "http/http.h"
 #include "scenario/child_process.h"
 #include "scenario/test_environment.h"
-#include "http/http.h"
 #include "terms/limits.h"
 
 namespace ospreypost::scenario {
@@ -229,7 +229,9 @@
         add(end, ends + name, [hold, name] { hold(name, false); });
       }
     };
-    const auto listed_gone = [&roll](const std::string& name) { roll.list(name, checker::EndpointPhase::gone, false); };
+    const auto listed_gone = [&roll](const std::string& name) {
+      roll.list(name, checker::EndpointPhase::gone, false);
+    };
     // A replica leaves in two steps, and is back cold.
     const auto leaves = [&](const std::string& begins, const std::string& goes, auto begin, auto go) {
       for (const auto& name : trouble.whom) {
@@ -398,6 +400,8 @@
 
 }  // namespace
 
-ScenarioResult play(const Scenario& script, const PlayOptions& options) { return Run(script, options).play(); }
+ScenarioResult play(const Scenario& script, const PlayOptions& options) {
+  return Run(script, options).play();
+}
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/run.h
+++ b/src/scenario/run.h
@@ -4,9 +4,9 @@
 #include <functional>
 #include <string>
 
-#include "scenario/scenario.h"
 #include "checker/invariant_checker.h"
 #include "fakes/proxy.h"
+#include "scenario/scenario.h"
 
 namespace ospreypost::scenario {
 
@@ -32,4 +32,4 @@
 // Throws config::Faulty or net::Error.
 ScenarioResult play(const Scenario& script, const PlayOptions& options);
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/scenario.cpp
+++ b/src/scenario/scenario.cpp
@@ -214,4 +214,4 @@
   }
 }
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -92,4 +92,4 @@
 std::vector<Fault> drawn(const Scenario& script);
 void check_names(const Scenario& script, const config::Config& config);
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/test_environment.cpp
+++ b/src/scenario/test_environment.cpp
@@ -24,7 +24,7 @@
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto& settings = config.settings.classes[k];
     fakes::OperationClass cls{config.classes[k], settings.effect != Idempotency::idempotent,
-                                settings.latency_objective, settings.request_deadline, 0.01};
+                              settings.latency_objective, settings.request_deadline, 0.01};
     for (const auto& traffic : script.traffic) {
       if (traffic.name == cls.name) cls.work_seconds = std::chrono::duration<double>(traffic.work).count();
     }
@@ -104,8 +104,9 @@
 
 // --- The stage
 
-TestEnvironment::TestEnvironment(const Scenario& script, const config::Config& config, const std::filesystem::path& folder,
-             checker::Trace& trace, const fakes::InjectedDefects& sabotage)
+TestEnvironment::TestEnvironment(const Scenario& script, const config::Config& config,
+                                 const std::filesystem::path& folder, checker::Trace& trace,
+                                 const fakes::InjectedDefects& sabotage)
     : config_(config),
       trace_(trace),
       roll_(folder / "roll.json", trace),
@@ -166,7 +167,7 @@
 }
 
 std::string TestEnvironment::configuration(const std::string& text, const std::string& label,
-                                 std::size_t number) const {
+                                           std::size_t number) const {
   const config::Document document(text, label, config::kGovernorSchema);
   const auto root = document.root();
   root.child("roll").set("path", roll_path_.string());
@@ -233,7 +234,9 @@
   receivers_.at(proxy)->kill();
 }
 
-void TestEnvironment::note_cut(const std::string& proxy, bool cut) { trace_.add(checker::Cut{now(), proxy, cut}); }
+void TestEnvironment::note_cut(const std::string& proxy, bool cut) {
+  trace_.add(checker::Cut{now(), proxy, cut});
+}
 
 void TestEnvironment::push_fault(const std::string& proxy, fakes::LinkFault carriage, Nanos by) {
   using fakes::LinkFault;
@@ -283,4 +286,4 @@
   note_cut(name, cut);
 }
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/scenario/test_environment.h
+++ b/src/scenario/test_environment.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "scenario/child_process.h"
-#include "scenario/scenario.h"
+#include "fakes/caching_client.h"
 #include "fakes/faulty_link.h"
 #include "fakes/proxy.h"
 #include "fakes/replica.h"
 #include "fakes/resolver.h"
-#include "fakes/caching_client.h"
+#include "scenario/child_process.h"
+#include "scenario/scenario.h"
 
 namespace ospreypost::scenario {
 
@@ -57,7 +57,7 @@
 class TestEnvironment {
  public:
   TestEnvironment(const Scenario& script, const config::Config& config, const std::filesystem::path& folder,
-        checker::Trace& trace, const fakes::InjectedDefects& sabotage);
+                  checker::Trace& trace, const fakes::InjectedDefects& sabotage);
   ~TestEnvironment() { stop(); }
   // The governor's configuration for this stage, from the text of the original.
   // `number`: 1, or 2 for one that runs beside it.
@@ -109,4 +109,4 @@
   std::vector<std::unique_ptr<fakes::CachingClient>> terminals_;
 };
 
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/src/simulation/answer.cpp
+++ b/src/simulation/answer.cpp
@@ -136,4 +136,4 @@
   return answer;
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/answer.h
+++ b/src/simulation/answer.h
@@ -58,4 +58,4 @@
 Answer answer(const History& history, const Fitted& fitted, const Deployment& recorded,
               const Deployment& other, const std::string& label, const Asking& asking);
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/check.cpp
+++ b/src/simulation/check.cpp
@@ -39,4 +39,4 @@
   }
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/check.h
+++ b/src/simulation/check.h
@@ -14,4 +14,4 @@
 // is too long.
 void check(const History& history, const Deployment& deployment);
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -37,4 +37,4 @@
   Nanos now_{};
 };
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/evidence.cpp
+++ b/src/simulation/evidence.cpp
@@ -62,4 +62,4 @@
   return evidence;
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/evidence.h
+++ b/src/simulation/evidence.h
@@ -31,4 +31,4 @@
 // the bins are scaled, again and again, by how much more each line counted than they come to).
 std::vector<Evidence> evidence_of(const std::vector<Seen>& lines, Nanos length);
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/fit.cpp
+++ b/src/simulation/fit.cpp
@@ -375,7 +375,8 @@
       }
     }
     fleet_.cold_seen = weight > 5;
-    fleet_.initial_warm_up_capacity = fleet_.cold_seen ? std::clamp(sum / weight, 0.05, 1.0) : settings.initial_warm_up_capacity;
+    fleet_.initial_warm_up_capacity =
+        fleet_.cold_seen ? std::clamp(sum / weight, 0.05, 1.0) : settings.initial_warm_up_capacity;
   }
 
   // How failed tries and unanswered operations go together, and both with operations that come again.
@@ -576,4 +577,4 @@
   return Fitting(history, deployment, assume, take).fit();
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/fleet.h
+++ b/src/simulation/fleet.h
@@ -60,4 +60,4 @@
 Fleet fit(const History& history, const Deployment& deployment, Assume assume,
           const std::vector<bool>& take = {});
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/history.h
+++ b/src/simulation/history.h
@@ -83,4 +83,4 @@
   std::uint64_t lost = 0, damaged = 0;
 };
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/modelled_replica.cpp
+++ b/src/simulation/modelled_replica.cpp
@@ -70,7 +70,8 @@
   held->begins();
   double warmth = 1;
   if (cold_ && fleet_.warm_up_duration > Nanos{}) {
-    const double age = std::clamp(seconds(clock_.now() - begun_) / seconds(fleet_.warm_up_duration), 0.0, 1.0);
+    const double age =
+        std::clamp(seconds(clock_.now() - begun_) / seconds(fleet_.warm_up_duration), 0.0, 1.0);
     warmth = fleet_.initial_warm_up_capacity + (1 - fleet_.initial_warm_up_capacity) * age;
   }
   const auto* trouble = spell();
@@ -95,4 +96,4 @@
   }
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/modelled_replica.h
+++ b/src/simulation/modelled_replica.h
@@ -58,4 +58,4 @@
   std::deque<std::shared_ptr<Held>> waiting_;
 };
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
