--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -59,12 +59,12 @@
   Governing(const Deployment& deployment, EventQueue& clock)
       : deployment_(deployment),
         clock_(clock),
-        book_(deployment.settings.classes.size()),
-        handouts_({deployment.settings.message_overhead_entries, deployment.limits.max_messages_per_window,
-                   deployment.limits.message_window}),
-        clients_(deployment.lifetimes) {
+        routing_state_(deployment.settings.classes.size()),
+        pull_delivery_({deployment.settings.message_overhead_entries,
+                        deployment.limits.max_messages_per_window, deployment.limits.message_window}),
+        ttl_policy_(deployment.lifetimes) {
     for (std::size_t p = 0; p < deployment.proxies.size(); ++p)
-      clients_.introduce(ProxyId{static_cast<std::uint16_t>(p)}, true);
+      ttl_policy_.add_known(ProxyId{static_cast<std::uint16_t>(p)}, true);
     governor_.emplace(deployment.settings, deployment.seed, clock.now(), static_cast<ActionSink&>(*this));
     publish();
   }
@@ -75,31 +75,33 @@
     publish();
   }
   void joined(const Membership& of) {
-    book_.joined(of.proxy);
-    handouts_.joined(clock_.now(), of.proxy);
+    routing_state_.add_proxy(of.proxy);
+    pull_delivery_.add_proxy(clock_.now(), of.proxy);
     call([&](Controller& governor, Nanos now) {
       governor.on_proxy_joined(now, of.proxy, of.zone, of.usual_rate, of.fresh);
     });
   }
   void left(ProxyId proxy) {
     governor_->on_proxy_left(clock_.now(), proxy);
-    book_.left(proxy);
-    handouts_.left(proxy);
+    routing_state_.remove_proxy(proxy);
+    pull_delivery_.remove_proxy(proxy);
     publish();
   }
   // What the proxy is told when it asks; null: nothing.
   std::shared_ptr<const routing_state::ProxySnapshot> asked(ProxyId proxy) {
     const auto now = clock_.now();
-    auto holding = handouts_.take(now, proxy);
-    for (const auto& mark : handouts_.reached(now, proxy)) {
+    auto proxy_snapshot = pull_delivery_.take_answer(now, proxy);
+    for (const auto& mark : pull_delivery_.take_acknowledged(now, proxy)) {
       call([&](Controller& governor, Nanos at) {
         governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
       });
     }
-    return holding;
+    return proxy_snapshot;
   }
-  Nanos lifetime(ProxyId proxy, ClassId cls) { return clients_.asked(clock_.now(), proxy, cls).lifetime; }
-  const routing_state::PullDelivery::Counts& counts() const { return handouts_.counts(); }
+  Nanos lifetime(ProxyId proxy, ClassId cls) {
+    return ttl_policy_.on_query(clock_.now(), proxy, cls).lifetime;
+  }
+  const routing_state::PullDelivery::Counts& counts() const { return pull_delivery_.counts(); }
   const routing_state::RoutingSnapshot* version() const { return version_.get(); }
 
   std::function<void(Withdrawal)> on_withdrawal;
@@ -108,28 +110,32 @@
  private:
   void publish() {
     const auto now = clock_.now();
-    if (const auto published = book_.publish(now)) {
+    if (const auto published = routing_state_.publish(now)) {
       version_ = published->version;
       for (const auto& pending : published->pending)
-        handouts_.ordered(now, pending.proxy, version_->holding_of(pending.proxy), pending.lines);
+        pull_delivery_.on_published(now, pending.proxy, version_->snapshot_of(pending.proxy), pending.lines);
     }
     for (const auto& [mark, reach_all] : std::exchange(marks_, {}))
-      handouts_.request_acknowledgement(now, mark, version_->number, version_->marked(reach_all));
+      pull_delivery_.request_acknowledgement(now, mark, version_->number, version_->marked(reach_all));
   }
 
   void set_table_entry(TableId table, ReplicaId replica, double weight) override {
-    book_.set_table_entry(table, replica, weight);
+    routing_state_.set_table_entry(table, replica, weight);
+  }
+  void clear_table(TableId table) override { routing_state_.clear_table(table); }
+  void bind(ProxyId proxy, TableId table, ClassMask classes) override {
+    routing_state_.bind(proxy, table, classes);
   }
-  void clear_table(TableId table) override { book_.clear_table(table); }
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override { book_.bind(proxy, table, classes); }
   void set_ejected(ReplicaId replica, bool out) override {
-    book_.set_ejected(replica, out);
+    routing_state_.set_ejected(replica, out);
     if (on_withdrawal) on_withdrawal({clock_.now(), replica, out});
   }
   void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
-    book_.set_admitted_fraction(table, classes, level, retry);
+    routing_state_.set_admitted_fraction(table, classes, level, retry);
+  }
+  void request_acknowledgement(AckRequestId mark, bool reach_all) override {
+    marks_.emplace_back(mark, reach_all);
   }
-  void request_acknowledgement(AckRequestId mark, bool reach_all) override { marks_.emplace_back(mark, reach_all); }
   void start_timer(Nanos from_now, TimerId timer) override {
     clock_.at(clock_.now() + from_now, [this, timer, alive = std::weak_ptr<int>(alive_)] {
       if (!alive.expired()) call([&](Controller& governor, Nanos now) { governor.on_timer(now, timer); });
@@ -149,11 +155,12 @@
   const Deployment& deployment_;
   EventQueue& clock_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  routing_state::RoutingState book_;
-  routing_state::PullDelivery handouts_;
-  dns::ClientTtlPolicy clients_;
+  routing_state::RoutingState routing_state_;
+  routing_state::PullDelivery pull_delivery_;
+  dns::ClientTtlPolicy ttl_policy_;
   std::vector<std::pair<AckRequestId, bool>> marks_;
-  std::shared_ptr<const routing_state::RoutingSnapshot> version_ = std::make_shared<routing_state::RoutingSnapshot>();
+  std::shared_ptr<const routing_state::RoutingSnapshot> version_ =
+      std::make_shared<routing_state::RoutingSnapshot>();
   std::optional<Controller> governor_;
 };
 
@@ -243,7 +250,8 @@
 
   void list(const ListNews& news) {
     if (news.failed) {
-      if (governing_) governing_->call([](Controller& governor, Nanos now) { governor.on_endpoint_list_failed(now); });
+      if (governing_)
+        governing_->call([](Controller& governor, Nanos now) { governor.on_endpoint_list_failed(now); });
       return;
     }
     if (news.kind != EndpointListKind::changes) {
@@ -274,14 +282,14 @@
       const Nanos begun = cold ? std::max(*started, Nanos{}) : now;
       replica.start(begun, cold);
       const auto& model = fleet_.replicas[n];
-      trace_.add(checker::Started{begun, name(id), model.cores / model.slowness, cold ? fleet_.initial_warm_up_capacity : 1,
-                                fleet_.warm_up_duration});
+      trace_.add(checker::Started{begun, name(id), model.cores / model.slowness,
+                                  cold ? fleet_.initial_warm_up_capacity : 1, fleet_.warm_up_duration});
     }
     listed_[n] = phase;
     trace_.add(checker::Listed{now, name(id),
-                             phase == EndpointPhase::ready      ? checker::EndpointPhase::ready
-                             : phase == EndpointPhase::draining ? checker::EndpointPhase::draining
-                                                        : checker::EndpointPhase::gone});
+                               phase == EndpointPhase::ready      ? checker::EndpointPhase::ready
+                               : phase == EndpointPhase::draining ? checker::EndpointPhase::draining
+                                                                  : checker::EndpointPhase::gone});
   }
 
   void plan_memberships() {
@@ -315,25 +323,25 @@
   void ask(ProxyId id, ClassId cls, std::uint64_t asking) {
     auto& proxy = proxies_[index(id)];
     if (!governing_ || proxy.asking != asking || clock_.now() >= history_.length) return;
-    const auto holding = governing_->asked(id);
+    const auto proxy_snapshot = governing_->asked(id);
     const bool pushed = deployment_.pushed[index(id)];
     Nanos again = pushed ? fleet_.push_time : kAskAgain;
-    if (holding) {
-      put(id, cls, *holding);
+    if (proxy_snapshot) {
+      put(id, cls, *proxy_snapshot);
       if (!pushed) again = governing_->lifetime(id, cls);
     }
     clock_.at(clock_.now() + again, [this, id, cls, asking] { ask(id, cls, asking); });
   }
 
-  void put(ProxyId id, ClassId cls, const routing_state::ProxySnapshot& holding) {
+  void put(ProxyId id, ClassId cls, const routing_state::ProxySnapshot& proxy_snapshot) {
     auto& table = proxies_[index(id)].tables[index(cls)];
-    const auto& view = holding.views[index(cls)];
+    const auto& view = proxy_snapshot.routing_tables[index(cls)];
     checker::Answered answered{clock_.now(),
-                             proxy_name(id),
-                             deployment_.classes[index(cls)],
-                             static_cast<std::uint64_t>(holding.since),
-                             {},
-                             true};
+                               proxy_name(id),
+                               deployment_.classes[index(cls)],
+                               static_cast<std::uint64_t>(proxy_snapshot.since),
+                               {},
+                               true};
     if (view) {
       for (const auto& line : view->lines) answered.names.push_back(name(line.replica));
     }
@@ -435,7 +443,8 @@
     may ? try_one(running, outcome) : unserved(running, outcome, true);
   }
 
-  std::optional<ReplicaId> pick(const routing_state::RoutingTable& view, const std::vector<ReplicaId>& tried) {
+  std::optional<ReplicaId> pick(const routing_state::RoutingTable& view,
+                                const std::vector<ReplicaId>& tried) {
     double sum = 0;
     const auto may = [&](const routing_state::TableEntry& line) {
       return std::find(tried.begin(), tried.end(), line.replica) == tried.end();
@@ -486,7 +495,7 @@
 
   void served(const RunningPtr& running) {
     trace_.add(checker::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
-                                clock_.now()});
+                                  clock_.now()});
   }
 
   void unserved(const RunningPtr& running, Outcome outcome, bool let_in) {
@@ -498,7 +507,7 @@
                        share(chance_) < fleet_.repeats[index(running->cls)];
     if (!comes) {
       trace_.add(checker::Operation{running->asked, running->id, deployment_.classes[index(running->cls)],
-                                  std::nullopt});
+                                    std::nullopt});
       return;
     }
     ++running->repeats;
@@ -562,7 +571,8 @@
     for (const auto& [replica, of] : met) {
       const auto handled = of.attempts - of.failed;
       report.met.push_back({replica, of.attempts, of.failed, {}, of.load});
-      if (handled > 0) report.met.back().mean_latency = Nanos(std::llround(of.handled_seconds / handled * 1e9));
+      if (handled > 0)
+        report.met.back().mean_latency = Nanos(std::llround(of.handled_seconds / handled * 1e9));
     }
     played_.reports.push_back(report);
     if (!governing_) return;
@@ -585,8 +595,8 @@
     if (!governing_ || !governing_->version()) return;
     Shares shares{clock_.now(), std::vector<double>(replicas_.size())};
     double all = 0;
-    for (const auto& [proxy, holding] : governing_->version()->holdings) {
-      for (const auto& view : holding->views) {
+    for (const auto& [proxy, proxy_snapshot] : governing_->version()->proxy_snapshots) {
+      for (const auto& view : proxy_snapshot->routing_tables) {
         if (!view) continue;
         double sum = 0;
         for (const auto& line : view->lines) sum += line.weight;
@@ -634,4 +644,4 @@
   return count(history.reports, history.length, zones_of_served(history), deployment.settings);
 }
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulation/simulated_day.h
+++ b/src/simulation/simulated_day.h
@@ -43,4 +43,4 @@
 // The same counts as the record has them, up to its end.
 std::vector<Counted> counted(const History& history, const Deployment& deployment);
 
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -40,7 +40,9 @@
   void start_timer(Nanos from_now, TimerId timer) override {
     reply_.record(ActionCode::arm, static_cast<double>(from_now.count()) / 1e9, timer);
   }
-  void watch_endpoint_list(bool on) override { reply_.record(ActionCode::watch, static_cast<std::uint8_t>(on)); }
+  void watch_endpoint_list(bool on) override {
+    reply_.record(ActionCode::watch, static_cast<std::uint8_t>(on));
+  }
   void refresh_endpoint_list() override { reply_.record(ActionCode::lookup); }
   void request_health_check(ReplicaId replica) override { reply_.record(ActionCode::ask_load, replica); }
   void send_to_peer(std::optional<PeerId> peer, std::string_view message) override {
@@ -112,7 +114,8 @@
     const auto code = static_cast<EventCode>(batch.take<std::uint16_t>("code"));
     const auto size = batch.take<std::uint32_t>("record length");
     const auto body = batch.bytes(size, ("record at byte " + at).c_str());
-    simulator::FieldReader fields(body, "record " + std::to_string(static_cast<unsigned>(code)) + " at byte " + at);
+    simulator::FieldReader fields(body,
+                                  "record " + std::to_string(static_cast<unsigned>(code)) + " at byte " + at);
     if (code == EventCode::target_instance) {
       who = fields.take<std::uint32_t>("who");
       reply_.for_instance(*who);
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -93,4 +93,4 @@
   return frame_;
 }
 
-}  // namespace ospreypost::wire
+}  // namespace ospreypost::simulator
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -59,7 +59,8 @@
 // Reads fields one after the other; `where` names the record in every complaint.
 class FieldReader {
  public:
-  FieldReader(std::span<const std::byte> bytes, std::string where) : bytes_(bytes), where_(std::move(where)) {}
+  FieldReader(std::span<const std::byte> bytes, std::string where)
+      : bytes_(bytes), where_(std::move(where)) {}
 
   template <typename T>
   T take(const char* field) {
@@ -121,4 +122,4 @@
   std::optional<std::uint32_t> announced_;
 };
 
-}  // namespace ospreypost::wire
+}  // namespace ospreypost::simulator
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -127,8 +127,8 @@
 ClassSettings read_class(const Pairs& pairs, const std::string& at) {
   ClassSettings cls;
   cls.effect = pairs.choice<Idempotency>(at + "effect", {{"idempotent", Idempotency::idempotent},
-                                                    {"deduplicated", Idempotency::deduplicated},
-                                                    {"at_most_once", Idempotency::at_most_once}});
+                                                         {"deduplicated", Idempotency::deduplicated},
+                                                         {"at_most_once", Idempotency::at_most_once}});
   cls.latency_objective = pairs.time(at + "on-time-s");
   cls.request_deadline = pairs.time(at + "deadline-s");
   cls.priority_weight = pairs.number(at + "worth");
@@ -157,9 +157,10 @@
   settings.poll_endpoint_list =
       pairs.choice<bool>("membership-mode", {{"automatic", false}, {"subscribe", true}});
   settings.health_checks_allowed = pairs.yes("allowed.may-probe");
-  settings.reporting = pairs.choice<ReportingMode>(
-      "report.via",
-      {{"piggyback", ReportingMode::in_load_reports}, {"pull", ReportingMode::by_health_check}, {"silent", ReportingMode::none}});
+  settings.reporting =
+      pairs.choice<ReportingMode>("report.via", {{"piggyback", ReportingMode::in_load_reports},
+                                                 {"pull", ReportingMode::by_health_check},
+                                                 {"silent", ReportingMode::none}});
   for (const auto name : pairs.items("report.columns")) settings.load_columns.push_back(load_column(name));
   settings.admission = pairs.choice<AdmissionMode>(
       "family-info.admit",
@@ -191,4 +192,4 @@
   return settings;
 }
 
-}  // namespace ospreypost::wire
+}  // namespace ospreypost::simulator
--- a/src/simulator/settings.h
+++ b/src/simulator/settings.h
@@ -10,4 +10,4 @@
 // Throws Malformed where a needed key is missing or a value cannot be read; unknown keys are ignored.
 Settings parse_settings(std::string_view text);
 
-}  // namespace ospreypost::wire
+}  // namespace ospreypost::simulator
--- a/src/terms/limits.cpp
+++ b/src/terms/limits.cpp
@@ -15,8 +15,8 @@
   limits.most_waiting = settings.channel_max_queued_entries;
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto& cls = settings.classes[k];
-    limits.classes[config.classes[k]] = {cls.effect != Idempotency::idempotent, cls.latency_objective, cls.request_deadline,
-                                         cls.priority_weight, cls.late_priority_weight};
+    limits.classes[config.classes[k]] = {cls.effect != Idempotency::idempotent, cls.latency_objective,
+                                         cls.request_deadline, cls.priority_weight, cls.late_priority_weight};
   }
   for (const auto& proxy : config.proxies.known) {
     if (proxy.vouched) limits.vouched.push_back(proxy.name);
--- a/src/terms/limits.h
+++ b/src/terms/limits.h
@@ -1,8 +1,8 @@
 // What a configuration promises, as the judge measures it.
 #pragma once
 
-#include "config/config.h"
 #include "checker/invariant_checker.h"
+#include "config/config.h"
 
 namespace ospreypost::terms {
 
--- a/tests/policy/control_channel_test.cpp
+++ b/tests/policy/control_channel_test.cpp
@@ -68,7 +68,8 @@
   ChannelScene scene(0.15);
   for (unsigned s = 0; s < 20; ++s) scene.second(s);
   for (std::uint32_t id = 0; id < 5; ++id)
-    scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes, {entry(id, 0, EndpointPhase::draining)});
+    scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes,
+                                    {entry(id, 0, EndpointPhase::draining)});
   scene.host.take();
   for (unsigned s = 0; s < 10; ++s) scene.second(s);
   EXPECT_EQ(scene.host.withdrawn.size(), 5u);
@@ -81,7 +82,8 @@
   scene.host.answers = false;
   for (unsigned s = 0; s < 30; ++s) scene.second(s);
   EXPECT_EQ(scene.host.bindings.size(), 60u);
-  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes, {entry(3, 0, EndpointPhase::draining)});
+  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes,
+                                  {entry(3, 0, EndpointPhase::draining)});
   scene.host.take();
   scene.second(30);
   EXPECT_EQ(scene.host.withdrawn.size(), 1u);
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -85,7 +85,8 @@
 
 TEST(Drains, AMissingEntryOfACompleteListIsGone) {
   Scene scene;
-  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::complete, {entry(0, 0), entry(1, 1), entry(2, 2)});
+  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::complete,
+                                  {entry(0, 0), entry(1, 1), entry(2, 2)});
   EXPECT_EQ(scene.host.withdrawn.size(), 6u);
 }
 
@@ -401,11 +402,12 @@
       scene.governor.on_proxy_left(scene.host.now, proxy);
       for (unsigned k = 0; k < 2; ++k) scene.host.bound.erase({proxy, k});
       scene.governor.on_proxy_joined(scene.host.now, proxy, ZoneId{static_cast<std::uint16_t>(proxy)}, 20,
-                                  false);
+                                     false);
     }
     const auto& host = scene.host;
     for (const auto& [id, phase] : listed) {
-      if (phase != EndpointPhase::ready && host.now - told[id] > settings.drain_grace - settings.message_delay) {
+      if (phase != EndpointPhase::ready &&
+          host.now - told[id] > settings.drain_grace - settings.message_delay) {
         EXPECT_TRUE(host.withdrawn.contains(ReplicaId{id})) << "drain of " << id << " at step " << step;
       }
     }
@@ -425,7 +427,8 @@
       EXPECT_TRUE(served || !open) << "bare at step " << step;
     }
     for (const auto& level : host.levels) {
-      EXPECT_FALSE((level.classes == 0 || (level.classes & 2u)) && level.retry > RetryMode::after_rejection_proof);
+      EXPECT_FALSE((level.classes == 0 || (level.classes & 2u)) &&
+                   level.retry > RetryMode::after_rejection_proof);
     }
     EXPECT_EQ(host.repeated, 0);
     const auto recent = std::count_if(host.messages.begin(), host.messages.end(),
--- a/tests/program/client_ttl_policy_test.cpp
+++ b/tests/program/client_ttl_policy_test.cpp
@@ -1,10 +1,10 @@
 // Who can be held to the grace: caches of every kind on generated clients.
+#include "dns/client_ttl_policy.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
-#include "dns/client_ttl_policy.h"
-
 namespace ospreypost::dns {
 namespace {
 
@@ -24,16 +24,16 @@
 // themselves first, never; those that the operator vouches for, once, until they are seen.
 RC_GTEST_PROP(ClientTtlPolicy, WhoHoldsOnTooLongGetsNoReplicas, (bool vouched)) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, vouched);
+  clients.add_known(kClient, vouched);
   const double factor = 1 + *rc::gen::inRange(0, 800) / 100.0;
   const Nanos extra = std::chrono::milliseconds(*rc::gen::inRange(0, 4000));
   Nanos now = 50s;
   int beyond = 0;
   for (int n = 0; n < 40; ++n) {
-    clients.silent(now);
-    const auto verdict = clients.asked(now, kClient, kClass);
-    const auto hold = held(verdict.lifetime, factor, extra);
-    beyond += verdict.service == ClientService::replicas && hold > kHoldMost;
+    clients.take_silent(now);
+    const auto ttl_decision = clients.on_query(now, kClient, kClass);
+    const auto hold = held(ttl_decision.lifetime, factor, extra);
+    beyond += ttl_decision.service == ClientService::replicas && hold > kHoldMost;
     now += hold + std::chrono::milliseconds(*rc::gen::inRange(0, 40));
   }
   RC_ASSERT(beyond <= (vouched ? 1 : 0));
@@ -42,30 +42,30 @@
 // Whoever asks in time is served after it has shown so, and stays served.
 RC_GTEST_PROP(ClientTtlPolicy, WhoAsksInTimeIsServed, (bool vouched)) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, vouched);
+  clients.add_known(kClient, vouched);
   Nanos now = 50s;
   for (int n = 0; n < 60; ++n) {
-    const auto verdict = clients.asked(now, kClient, kClass);
-    RC_ASSERT((verdict.service == ClientService::replicas) == (vouched || n >= 3));
-    RC_ASSERT(verdict.joins == (n == (vouched ? 0 : 3)));
-    RC_ASSERT(Nanos(verdict.lifetime) <= kHoldMost);
-    now += Nanos(verdict.lifetime) + std::chrono::milliseconds(*rc::gen::inRange(0, 50));
+    const auto ttl_decision = clients.on_query(now, kClient, kClass);
+    RC_ASSERT((ttl_decision.service == ClientService::replicas) == (vouched || n >= 3));
+    RC_ASSERT(ttl_decision.joins == (n == (vouched ? 0 : 3)));
+    RC_ASSERT(Nanos(ttl_decision.lifetime) <= kHoldMost);
+    now += Nanos(ttl_decision.lifetime) + std::chrono::milliseconds(*rc::gen::inRange(0, 50));
   }
 }
 
 TEST(ClientTtlPolicy, ALateClientLeavesAndComesBackWhenItHasShownItselfAgain) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, true);
-  EXPECT_EQ(clients.asked(10s, kClient, kClass).service, ClientService::replicas);
-  const auto late = clients.asked(14900ms, kClient, kClass);
+  clients.add_known(kClient, true);
+  EXPECT_EQ(clients.on_query(10s, kClient, kClass).service, ClientService::replicas);
+  const auto late = clients.on_query(14900ms, kClient, kClass);
   EXPECT_EQ(late.service, ClientService::proxies);
   EXPECT_TRUE(late.leaves);
-  EXPECT_FALSE(clients.held(kClient));
+  EXPECT_FALSE(clients.is_held(kClient));
   Nanos now = 14900ms;
   int asked = 0;
-  for (auto verdict = late; verdict.service != ClientService::replicas && asked < 10000; ++asked) {
+  for (auto ttl_decision = late; ttl_decision.service != ClientService::replicas && asked < 10000; ++asked) {
     now += 1s;
-    verdict = clients.asked(now, kClient, kClass);
+    ttl_decision = clients.on_query(now, kClient, kClass);
   }
   // The memory fades first: minutes, not seconds.
   EXPECT_GT(asked, 60);
@@ -74,36 +74,36 @@
 
 TEST(ClientTtlPolicy, SilenceLeavesAndDoubtsEvenTheVouchedFor) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, true);
-  clients.asked(10s, kClient, kClass);
-  EXPECT_TRUE(clients.silent(14s).empty());
-  clients.reported(14s, kClient);
-  EXPECT_TRUE(clients.silent(18s).empty());
-  EXPECT_EQ(clients.silent(19100ms), std::vector{kClient});
-  EXPECT_TRUE(clients.silent(30s).empty());
+  clients.add_known(kClient, true);
+  clients.on_query(10s, kClient, kClass);
+  EXPECT_TRUE(clients.take_silent(14s).empty());
+  clients.on_report(14s, kClient);
+  EXPECT_TRUE(clients.take_silent(18s).empty());
+  EXPECT_EQ(clients.take_silent(19100ms), std::vector{kClient});
+  EXPECT_TRUE(clients.take_silent(30s).empty());
   // It may sit behind a cache that holds on for longer than the silence.
-  EXPECT_EQ(clients.asked(40s, kClient, kClass).service, ClientService::proxies);
+  EXPECT_EQ(clients.on_query(40s, kClient, kClass).service, ClientService::proxies);
 }
 
 TEST(ClientTtlPolicy, AClockThatJumpsBackChangesNothing) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, true);
-  const auto first = clients.asked(100s, kClient, kClass);
-  const auto second = clients.asked(20s, kClient, kClass);
+  clients.add_known(kClient, true);
+  const auto first = clients.on_query(100s, kClient, kClass);
+  const auto second = clients.on_query(20s, kClient, kClass);
   EXPECT_EQ(second.service, ClientService::replicas);
   EXPECT_EQ(second.lifetime, first.lifetime);
-  EXPECT_EQ(clients.asked(100s + first.lifetime, kClient, kClass).service, ClientService::replicas);
+  EXPECT_EQ(clients.on_query(100s + first.lifetime, kClient, kClass).service, ClientService::replicas);
 }
 
 TEST(ClientTtlPolicy, EachNameIsWatchedByItself) {
   ClientTtlPolicy clients(kLimits);
-  clients.introduce(kClient, true);
-  clients.asked(10s, kClient, ClassId{0});
-  clients.asked(10s, kClient, ClassId{1});
-  for (int n = 1; n <= 2; ++n) clients.asked(10s + n * 2s, kClient, ClassId{0});
+  clients.add_known(kClient, true);
+  clients.on_query(10s, kClient, ClassId{0});
+  clients.on_query(10s, kClient, ClassId{1});
+  for (int n = 1; n <= 2; ++n) clients.on_query(10s + n * 2s, kClient, ClassId{0});
   // The other name's answer was held on to all the while.
-  EXPECT_EQ(clients.asked(15s, kClient, ClassId{1}).service, ClientService::proxies);
+  EXPECT_EQ(clients.on_query(15s, kClient, ClassId{1}).service, ClientService::proxies);
 }
 
 }  // namespace
-}  // namespace ospreypost::lifetime
+}  // namespace ospreypost::dns
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -8,8 +8,8 @@
 #include "dns/rate_limit.h"
 #include "dns/server.h"
 #include "dns/weights.h"
-#include "program/support.h"
 #include "fakes/stub.h"
+#include "program/support.h"
 
 namespace ospreypost::dns {
 namespace {
@@ -59,19 +59,19 @@
     auto view = std::make_shared<routing_state::RoutingTable>();
     for (std::uint32_t id = 0; id < lines; ++id) view->lines.push_back({ReplicaId{id}, id + 1.0});
     view->terms = {{0.5, RetryMode::once}, {1, RetryMode::after_rejection_proof}};
-    auto holding = std::make_shared<routing_state::ProxySnapshot>();
-    holding->since = routing_state::SnapshotVersion{5};
-    holding->views = {view, view};
+    auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
+    proxy_snapshot->since = routing_state::SnapshotVersion{5};
+    proxy_snapshot->routing_tables = {view, view};
     const std::lock_guard held(lock);
-    told.holding = holding;
-    told.verdict = {dns::ClientService::replicas, dns::Ttl{2}};
+    told.proxy_snapshot = proxy_snapshot;
+    told.ttl_decision = {dns::ClientService::replicas, dns::Ttl{2}};
     told.directory = directory_;
   }
-  delivery::PullAnswer asked(ProxyId, ClassId) override {
+  delivery::PullAnswer on_query(ProxyId, ClassId) override {
     const std::lock_guard held(lock);
     return told;
   }
-  delivery::PullAnswer asked_zone(ZoneId) override { return asked({}, {}); }
+  delivery::PullAnswer on_zone_query(ZoneId) override { return on_query({}, {}); }
   std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return directory_; }
   routing_state::SnapshotVersion version() const override { return routing_state::SnapshotVersion{5}; }
   std::mutex lock;
@@ -134,7 +134,7 @@
       std::get<net::Address>(scene.ask("unit-3.replicas.farm.example.", Type::aaaa).answers.at(0).data).host,
       "::1");
   EXPECT_EQ(std::get<Soa>(scene.ask("farm.example.", Type::soa).answers.at(0).data).serial, 5U);
-  scene.core.told.holding = nullptr;
+  scene.core.told.proxy_snapshot = nullptr;
   EXPECT_EQ(code(kName), Code::server_failure);
   scene.core.hold(0);
   EXPECT_EQ(code(kName), Code::ok);
@@ -143,7 +143,7 @@
 
 TEST(Responder, WhoCannotBeHeldGetsProxiesAndNeverReplicas) {
   Scene scene;
-  scene.core.told.verdict = {dns::ClientService::proxies, dns::Ttl{1}};
+  scene.core.told.ttl_decision = {dns::ClientService::proxies, dns::Ttl{1}};
   scene.core.told.entries = {{ProxyId{1}, ZoneId{1}, {"127.0.0.1", 7002}},
                              {ProxyId{0}, ZoneId{0}, {"127.0.0.1", 7001}}};
   const auto answer = scene.ask("_sign-job._tcp.forwarder-3.proxies.farm.example.");
@@ -164,12 +164,12 @@
   EXPECT_EQ(scene.ask(kName).id, 7);
   scene.core.hold(3);
   EXPECT_EQ(scene.ask(kName).answers.size(), 3U);
-  scene.core.told.verdict.lifetime = dns::Ttl{1};
+  scene.core.told.ttl_decision.lifetime = dns::Ttl{1};
   EXPECT_EQ(scene.ask(kName).answers[0].lifetime, 1U);
-  scene.core.told.verdict.service = dns::ClientService::proxies;
+  scene.core.told.ttl_decision.service = dns::ClientService::proxies;
   EXPECT_TRUE(scene.ask(kName).answers.empty());
-  scene.core.told.verdict.service = dns::ClientService::replicas;
-  scene.core.told.holding = nullptr;
+  scene.core.told.ttl_decision.service = dns::ClientService::replicas;
+  scene.core.told.proxy_snapshot = nullptr;
   EXPECT_EQ(scene.ask(kName).code, Code::server_failure);
 }
 
--- a/tests/program/event_ordering_test.cpp
+++ b/tests/program/event_ordering_test.cpp
@@ -165,7 +165,8 @@
        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n", "HTTP/1.1 200 OK\r\nX-Pad: "}) {
     Discovery discovery;
     Told told;
-    discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, told, waits(10s, 200ms));
+    discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, told,
+                                         waits(10s, 200ms));
     discovery.next_request();
     bool left = false;
     std::size_t written = 0;
@@ -280,7 +281,7 @@
   void on_replica_load_report(const ReplicaLoadReport&) override { note("sum"); }
   void on_demand_report(ProxyId, const DemandReport&) override { note("demand"); }
   void on_acknowledgement(ProxyId, std::uint64_t, Nanos) override { note("answer"); }
-  std::vector<ProxyId> due() override {
+  std::vector<ProxyId> due_proxies() override {
     std::unique_lock waits(lock);
     ++turns;
     at_rest = true;
@@ -289,8 +290,8 @@
     at_rest = false;
     return {};
   }
-  std::string next_for(ProxyId) override { return {}; }
-  void complain(const std::string&) override {}
+  std::string next_message(ProxyId) override { return {}; }
+  void log_peer_error(const std::string&) override {}
 
   void note(const std::string& what) {
     const std::lock_guard held(lock);
--- a/tests/program/files_test.cpp
+++ b/tests/program/files_test.cpp
@@ -8,10 +8,10 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
+#include "fakes/tables.h"
 #include "files/receiver.h"
 #include "files/render.h"
 #include "program/support.h"
-#include "fakes/tables.h"
 
 namespace ospreypost::files {
 namespace {
--- a/tests/program/invariant_checker_test.cpp
+++ b/tests/program/invariant_checker_test.cpp
@@ -208,4 +208,4 @@
 }
 
 }  // namespace
-}  // namespace ospreypost::judge
+}  // namespace ospreypost::checker
--- a/tests/program/load_reports_test.cpp
+++ b/tests/program/load_reports_test.cpp
@@ -1,22 +1,21 @@
 // Reports are told apart by their spans; rolls are taken whole or not at all.
-#include "load_reports/load_report_processor.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
 #include <set>
 
+#include "discovery/endpoint_file_source.h"
 #include "discovery/endpoint_list.h"
+#include "load_reports/load_report_processor.h"
 #include "program/support.h"
-#include "discovery/endpoint_file_source.h"
 
 namespace ospreypost {
 namespace {
 
 using namespace std::chrono_literals;
-using load_reports::SpanVerdict;
 using load_reports::Span;
+using load_reports::SpanVerdict;
 
 // However spans overlap, repeat and come out of order: no moment is counted twice, and what touches nothing
 // that was counted counts.
@@ -63,7 +62,9 @@
     sums.push_back(sum);
     origins.push_back(origin);
   }
-  void on_demand_report(const DemandReport& demand, const record::Origin&) override { demands.push_back(demand); }
+  void on_demand_report(const DemandReport& demand, const record::Origin&) override {
+    demands.push_back(demand);
+  }
   void reported(ProxyId proxy) override { reporters.push_back(proxy); }
   std::vector<ReplicaLoadReport> sums;
   std::vector<record::Origin> origins;
@@ -114,7 +115,8 @@
 
 // --- The roll
 
-discovery::Endpoint backend(const std::string& name, std::optional<discovery::WallTime> started = std::nullopt) {
+discovery::Endpoint backend(const std::string& name,
+                            std::optional<discovery::WallTime> started = std::nullopt) {
   discovery::Endpoint made;
   made.name = name;
   made.started = started;
@@ -125,10 +127,10 @@
 
 TEST(EndpointList, TellsWhatDiffers) {
   discovery::EndpointList roll;
-  EXPECT_TRUE(roll.take(10s, wall(100s), {backend("b"), backend("a")}).first);
+  EXPECT_TRUE(roll.update(10s, wall(100s), {backend("b"), backend("a")}).first);
   auto draining = backend("a");
   draining.draining = true;
-  const auto taken = roll.take(11s, wall(101s), {draining, backend("c")});
+  const auto taken = roll.update(11s, wall(101s), {draining, backend("c")});
   ASSERT_EQ(taken.changes.size(), 3U);
   EXPECT_EQ(taken.changes[0].phase, EndpointPhase::draining);
   EXPECT_EQ(taken.changes[1].phase, EndpointPhase::gone);
@@ -137,21 +139,21 @@
 
 TEST(EndpointList, WhatIsAbsurdLeavesTheLastGoodOneStanding) {
   discovery::EndpointList roll;
-  roll.take(10s, wall(100s), {backend("a")});
-  EXPECT_THROW(roll.take(11s, wall(101s), {}), net::Error);
-  EXPECT_THROW(roll.take(12s, wall(102s), {backend("b"), backend("b")}), net::Error);
-  EXPECT_TRUE(roll.take(13s, wall(103s), {backend("a")}).changes.empty());
+  roll.update(10s, wall(100s), {backend("a")});
+  EXPECT_THROW(roll.update(11s, wall(101s), {}), net::Error);
+  EXPECT_THROW(roll.update(12s, wall(102s), {backend("b"), backend("b")}), net::Error);
+  EXPECT_TRUE(roll.update(13s, wall(103s), {backend("a")}).changes.empty());
 }
 
 TEST(EndpointList, AWallClockThatJumpsMakesNothingWarmThatIsCold) {
   discovery::EndpointList roll;
-  roll.take(10s, wall(1000s), {backend("a", wall(400s))});
+  roll.update(10s, wall(1000s), {backend("a", wall(400s))});
   // Restarted between two readings, and the clock jumped an hour ahead meanwhile.
-  const auto taken = roll.take(12s, wall(4602s), {backend("a", wall(1001s))});
+  const auto taken = roll.update(12s, wall(4602s), {backend("a", wall(1001s))});
   ASSERT_EQ(taken.changes.size(), 1U);
   EXPECT_EQ(taken.changes[0].started, Nanos(10s));
   // And a start in the future is one of now.
-  EXPECT_EQ(roll.take(14s, wall(0s), {backend("a", wall(4610s))}).changes[0].started, Nanos(14s));
+  EXPECT_EQ(roll.update(14s, wall(0s), {backend("a", wall(4610s))}).changes[0].started, Nanos(14s));
 }
 
 TEST(EndpointFileSource, NamesWhatIsWrong) {
--- a/tests/program/platform_server_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -1,4 +1,6 @@
 // The platform's door on loopback, with scripted peers: strangers, second streams, spoilt reports, discovery.
+#include "platform/platform_server.h"
+
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -7,7 +9,6 @@
 #include <mutex>
 
 #include "http/http.h"
-#include "platform/platform_server.h"
 #include "program/platform_support.h"
 
 namespace ospreypost::platform {
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -3,13 +3,13 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "routing_state/routing_state.h"
 #include "config/xml.h"
-#include "platform/table_update_encoder.h"
-#include "platform/platform_config.h"
-#include "platform/messages.h"
 #include "platform/endpoint_registry.h"
+#include "platform/messages.h"
+#include "platform/platform_config.h"
+#include "platform/table_update_encoder.h"
 #include "program/platform_support.h"
+#include "routing_state/routing_state.h"
 
 namespace ospreypost::platform {
 namespace {
@@ -144,7 +144,7 @@
   }
   try {
     parse_message({words.begin(), words.end()}, vocabulary(), from,
-                 from == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt, heard);
+                  from == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt, heard);
   } catch (const MessageError&) {
     return heard.all.empty() ? "spoilt" : "spoilt, but told";
   }
@@ -192,7 +192,8 @@
                             "inflight:1,util:x", "inflight:-1,util:0.5"}) {
     EXPECT_EQ(told(sum + " util " + wrong, PeerRole::proxy), "spoilt") << wrong;
   }
-  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 10 mean 41 over 1000", PeerRole::proxy), "spoilt");
+  EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 10 mean 41 over 1000", PeerRole::proxy),
+            "spoilt");
   EXPECT_EQ(told("outcomes site east target s-1 count 9 fail 2 mean 41 over 0", PeerRole::proxy), "spoilt");
   EXPECT_EQ(told(sum + " over 1000", PeerRole::proxy), "spoilt") << "a field twice";
   EXPECT_EQ(told(sum + " over", PeerRole::proxy), "spoilt") << "a field without a value";
@@ -228,8 +229,8 @@
   EXPECT_EQ(first.entries[1].started, 50s);
   const auto a = *places.find("a"), b = *places.find("b");
   // Whoever a whole list leaves out is gone, and no later one gets its number.
-  const auto second =
-      places.take(discovery::parse_endpoint_list_update(test::roster(2, true, test::member("b", "DRAINING"))));
+  const auto second = places.take(
+      discovery::parse_endpoint_list_update(test::roster(2, true, test::member("b", "DRAINING"))));
   EXPECT_EQ(second.out.size(), 2u);
   EXPECT_EQ(places.gone(), std::vector<ReplicaId>{a});
   places.let_go(a);
@@ -314,7 +315,7 @@
   routing_state::RoutingState book(2);
   TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   std::map<std::size_t, PlainProxy> joined;
-  std::map<ProxyId, std::shared_ptr<const routing_state::ProxySnapshot>> holdings;
+  std::map<ProxyId, std::shared_ptr<const routing_state::ProxySnapshot>> proxy_snapshots;
   for (int step = *rc::gen::inRange(1, 60); step > 0; --step) {
     const auto p = *rc::gen::inRange<std::size_t>(0, proxies);
     const ProxyId proxy{static_cast<std::uint16_t>(p)};
@@ -323,7 +324,7 @@
     const auto classes = *rc::gen::inRange<ClassMask>(0, 4);
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
-        book.joined(proxy);
+        book.add_proxy(proxy);
         channel.joined(proxy);
         // It may bring along anything.
         joined[p] = {};
@@ -331,7 +332,7 @@
         joined[p].tables["sign"].terms = {"0.5", "3"};
         break;
       case 1:
-        book.left(proxy);
+        book.remove_proxy(proxy);
         channel.left(proxy);
         joined.erase(p);
         break;
@@ -342,20 +343,22 @@
         book.set_ejected(replica, *rc::gen::arbitrary<bool>());
         break;
       case 4:
-        book.set_admitted_fraction(*rc::gen::arbitrary<bool>() ? kAllTables : table, classes,
-                       *rc::gen::element(0.0, 0.25, 1.0),
-                       *rc::gen::element(RetryMode::none, RetryMode::after_rejection_proof, RetryMode::twice));
+        book.set_admitted_fraction(
+            *rc::gen::arbitrary<bool>() ? kAllTables : table, classes, *rc::gen::element(0.0, 0.25, 1.0),
+            *rc::gen::element(RetryMode::none, RetryMode::after_rejection_proof, RetryMode::twice));
         break;
       default:
         book.set_table_entry(table, replica, *rc::gen::element(0.0, 0.5, 1.0, 2.25));
     }
     if (*rc::gen::inRange(0, 3) > 0) continue;  // several calls, one message
     if (const auto published = book.publish(Nanos{})) {
-      holdings.clear();
-      for (const auto& [id, holding] : published->version->holdings) holdings[id] = holding;
-      for (const auto& pending : published->pending) channel.ordered(pending.proxy, holdings[pending.proxy]);
+      proxy_snapshots.clear();
+      for (const auto& [id, proxy_snapshot] : published->version->proxy_snapshots)
+        proxy_snapshots[id] = proxy_snapshot;
+      for (const auto& pending : published->pending)
+        channel.on_published(pending.proxy, proxy_snapshots[pending.proxy]);
     }
-    const auto due = channel.due();
+    const auto due = channel.due_proxies();
     for (const auto id : due) {
       // Who reads slowly gets one message of all that stands by then.
       if (*rc::gen::inRange(0, 4) == 0) continue;
@@ -367,9 +370,9 @@
     }
     for (const auto& [p2, plain] : joined) {
       const ProxyId id{static_cast<std::uint16_t>(p2)};
-      if (channel.due().contains(id) || !holdings.contains(id)) continue;
+      if (channel.due_proxies().contains(id) || !proxy_snapshots.contains(id)) continue;
       for (std::size_t k = 0; k < 2; ++k) {
-        const auto view = holdings[id]->views[k];
+        const auto view = proxy_snapshots[id]->routing_tables[k];
         if (!view) continue;
         std::map<std::string, double> lines;
         for (const auto& line : view->lines) lines[std::string(name_of(line.replica))] = line.weight;
@@ -391,7 +394,8 @@
   PlainProxy plain;
   plain.apply(channel.next(proxy, [](ReplicaId) { return std::string_view("s"); }).bytes);
   EXPECT_TRUE(channel.answered(proxy, 77).empty()) << "an answer to what was never asked";
-  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), (std::vector<AckRequestId>{AckRequestId{4}, AckRequestId{9}}));
+  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)),
+            (std::vector<AckRequestId>{AckRequestId{4}, AckRequestId{9}}));
   EXPECT_TRUE(channel.answered(proxy, std::stoul(plain.nonce)).empty());
 }
 
@@ -417,9 +421,9 @@
   EXPECT_EQ(channel.unheld(both), both);
   const auto order = [&](ReplicaId replica, double weight) {
     book.set_table_entry(TableId{0}, replica, weight);
-    channel.ordered(ProxyId{1}, book.publish(Nanos{})->version->holding_of(ProxyId{1}));
+    channel.on_published(ProxyId{1}, book.publish(Nanos{})->version->snapshot_of(ProxyId{1}));
   };
-  book.joined(ProxyId{1});
+  book.add_proxy(ProxyId{1});
   channel.joined(ProxyId{1});
   book.bind(ProxyId{1}, TableId{0}, 0);
   order(ReplicaId{1}, 1);
--- a/tests/program/push_delivery_test.cpp
+++ b/tests/program/push_delivery_test.cpp
@@ -1,6 +1,4 @@
 // When proxies that are pushed to are sent what, and which of several governors orders them.
-#include "routing_state/push_scheduler.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -12,6 +10,7 @@
 #include <set>
 
 #include "routing_state/lease_table.h"
+#include "routing_state/push_scheduler.h"
 
 namespace ospreypost::routing_state {
 namespace {
@@ -22,62 +21,62 @@
 // Signs of life more often than tokens come.
 constexpr PushLimits kLively{2, 1000, 12, 10s, 2500ms, 250ms};
 
-std::shared_ptr<const ProxySnapshot> holding_of(std::uint64_t since,
-                                          std::initializer_list<std::uint32_t> replicas) {
+std::shared_ptr<const ProxySnapshot> snapshot_of(std::uint64_t since,
+                                                 std::initializer_list<std::uint32_t> replicas) {
   auto view = std::make_shared<RoutingTable>();
   for (const auto id : replicas) view->lines.push_back({ReplicaId{id}, 1.0});
-  auto holding = std::make_shared<ProxySnapshot>();
-  holding->since = SnapshotVersion{since};
-  holding->views = {view};
-  return holding;
+  auto proxy_snapshot = std::make_shared<ProxySnapshot>();
+  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->routing_tables = {view};
+  return proxy_snapshot;
 }
 
 struct PushScene {
   PushScheduler pushes{kLimits};
   ProxyId proxy{1};
   PushScene() {
-    pushes.introduce(0s, proxy);
-    EXPECT_FALSE(pushes.next(0s)->holding);
-    pushes.joined(0s, proxy, true);
-    pushes.ordered(0s, proxy, holding_of(1, {1, 2}), 3);
-    EXPECT_EQ(pushes.next(0s)->holding->since, SnapshotVersion{1});
-    pushes.taken(10ms, proxy, SnapshotVersion{1});
+    pushes.add_known(0s, proxy);
+    EXPECT_FALSE(pushes.take_push(0s)->proxy_snapshot);
+    pushes.on_joined(0s, proxy, true);
+    pushes.on_published(0s, proxy, snapshot_of(1, {1, 2}), 3);
+    EXPECT_EQ(pushes.take_push(0s)->proxy_snapshot->since, SnapshotVersion{1});
+    pushes.on_confirmed(10ms, proxy, SnapshotVersion{1});
   }
 };
 
 TEST(PushScheduler, WithdrawalsGoFirstAndArePressedOnWith) {
   PushScene scene;
   auto& pushes = scene.pushes;
-  pushes.introduce(0s, ProxyId{0});
-  pushes.joined(0s, ProxyId{0}, true);
-  pushes.ordered(1s, ProxyId{0}, holding_of(2, {1, 2}), 3);
-  pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
-  EXPECT_EQ(pushes.next(1s)->proxy, scene.proxy);
-  pushes.failed(1100ms, scene.proxy);
-  EXPECT_EQ(pushes.next(1101ms)->proxy, ProxyId{0});
-  EXPECT_FALSE(pushes.next(1102ms));
-  EXPECT_EQ(pushes.next(1200ms)->proxy, scene.proxy);
+  pushes.add_known(0s, ProxyId{0});
+  pushes.on_joined(0s, ProxyId{0}, true);
+  pushes.on_published(1s, ProxyId{0}, snapshot_of(2, {1, 2}), 3);
+  pushes.on_published(1s, scene.proxy, snapshot_of(2, {1}), 1);
+  EXPECT_EQ(pushes.take_push(1s)->proxy, scene.proxy);
+  pushes.on_failed(1100ms, scene.proxy);
+  EXPECT_EQ(pushes.take_push(1101ms)->proxy, ProxyId{0});
+  EXPECT_FALSE(pushes.take_push(1102ms));
+  EXPECT_EQ(pushes.take_push(1200ms)->proxy, scene.proxy);
   // A confirmation of something older is none.
-  pushes.taken(1300ms, scene.proxy, SnapshotVersion{1});
-  EXPECT_EQ(pushes.next(1301ms)->holding->since, SnapshotVersion{2});
-  pushes.taken(1400ms, scene.proxy, SnapshotVersion{2});
-  EXPECT_TRUE(pushes.lost(3600ms).empty());
+  pushes.on_confirmed(1300ms, scene.proxy, SnapshotVersion{1});
+  EXPECT_EQ(pushes.take_push(1301ms)->proxy_snapshot->since, SnapshotVersion{2});
+  pushes.on_confirmed(1400ms, scene.proxy, SnapshotVersion{2});
+  EXPECT_TRUE(pushes.take_lost(3600ms).empty());
 }
 
 TEST(PushScheduler, WhoCannotConfirmAWithdrawalIsGivenUpOn) {
   PushScene scene;
-  scene.pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
+  scene.pushes.on_published(1s, scene.proxy, snapshot_of(2, {1}), 1);
   Nanos now = 1s;
   for (; now < 3400ms; now += 20ms) {
-    if (scene.pushes.next(now)) scene.pushes.failed(now, scene.proxy);
-    EXPECT_TRUE(scene.pushes.lost(now).empty());
+    if (scene.pushes.take_push(now)) scene.pushes.on_failed(now, scene.proxy);
+    EXPECT_TRUE(scene.pushes.take_lost(now).empty());
   }
-  EXPECT_EQ(scene.pushes.lost(3600ms), std::vector{scene.proxy});
-  EXPECT_FALSE(scene.pushes.held(scene.proxy));
+  EXPECT_EQ(scene.pushes.take_lost(3600ms), std::vector{scene.proxy});
+  EXPECT_FALSE(scene.pushes.is_held(scene.proxy));
   // It answers again, with an unknown table: the whole one must reach it in time as well.
-  scene.pushes.joined(5s, scene.proxy, false);
-  scene.pushes.ordered(5s, scene.proxy, holding_of(2, {1}), 3);
-  EXPECT_EQ(scene.pushes.lost(7600ms), std::vector{scene.proxy});
+  scene.pushes.on_joined(5s, scene.proxy, false);
+  scene.pushes.on_published(5s, scene.proxy, snapshot_of(2, {1}), 3);
+  EXPECT_EQ(scene.pushes.take_lost(7600ms), std::vector{scene.proxy});
 }
 
 // Its lease runs while a change waits for the channel or for a token.
@@ -88,10 +87,12 @@
   for (; now < 9s; now += 10ms) {
     if (now % 100ms == 0ns) {
       ++version;
-      scene.pushes.ordered(now, scene.proxy, holding_of(version, {1, 2, 3 + (version % 2 ? 1U : 0U)}), 1);
+      scene.pushes.on_published(now, scene.proxy, snapshot_of(version, {1, 2, 3 + (version % 2 ? 1U : 0U)}),
+                                1);
     }
-    if (const auto offer = scene.pushes.next(now)) {
-      scene.pushes.taken(now, scene.proxy, offer->holding ? offer->holding->since : SnapshotVersion{});
+    if (const auto offer = scene.pushes.take_push(now)) {
+      scene.pushes.on_confirmed(now, scene.proxy,
+                                offer->proxy_snapshot ? offer->proxy_snapshot->since : SnapshotVersion{});
       spoke = now;
     }
     EXPECT_LE(now - spoke, kLimits.renew);
@@ -101,48 +102,48 @@
 TEST(PushScheduler, WhoseTablesAreGoneGetsThemAgain) {
   PushScene scene;
   auto& pushes = scene.pushes;
-  EXPECT_FALSE(pushes.next(2s)->holding);
-  EXPECT_FALSE(pushes.met(2s, scene.proxy, SnapshotVersion{1}));
-  EXPECT_FALSE(pushes.next(4s)->holding);
-  EXPECT_TRUE(pushes.met(4s, scene.proxy, std::nullopt));
-  pushes.ordered(4s, scene.proxy, holding_of(1, {1, 2}), 3);
-  EXPECT_EQ(pushes.next(4s)->holding->since, SnapshotVersion{1});
+  EXPECT_FALSE(pushes.take_push(2s)->proxy_snapshot);
+  EXPECT_FALSE(pushes.on_liveness(2s, scene.proxy, SnapshotVersion{1}));
+  EXPECT_FALSE(pushes.take_push(4s)->proxy_snapshot);
+  EXPECT_TRUE(pushes.on_liveness(4s, scene.proxy, std::nullopt));
+  pushes.on_published(4s, scene.proxy, snapshot_of(1, {1, 2}), 3);
+  EXPECT_EQ(pushes.take_push(4s)->proxy_snapshot->since, SnapshotVersion{1});
 }
 
 // A way back by hand stands, until it would send to somebody who is out since.
 TEST(PushScheduler, AWayBackIsRecalledWhenItNamesWhoIsOut) {
   PushScene scene;
   auto& pushes = scene.pushes;
-  pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
-  pushes.next(1s);
-  pushes.taken(1s, scene.proxy, SnapshotVersion{2});
-  pushes.out(1500ms, {ReplicaId{3}});
-  pushes.went_back(1500ms, scene.proxy, {ReplicaId{1}, ReplicaId{2}});
-  EXPECT_FALSE(pushes.next(1900ms));
+  pushes.on_published(1s, scene.proxy, snapshot_of(2, {1}), 1);
+  pushes.take_push(1s);
+  pushes.on_confirmed(1s, scene.proxy, SnapshotVersion{2});
+  pushes.on_ejected(1500ms, {ReplicaId{3}});
+  pushes.on_rollback(1500ms, scene.proxy, {ReplicaId{1}, ReplicaId{2}});
+  EXPECT_FALSE(pushes.take_push(1900ms));
   // The newest does not name it, so nothing is ordered.
-  pushes.out(2100ms, {ReplicaId{2}, ReplicaId{3}});
-  const auto offer = pushes.next(2100ms);
-  ASSERT_TRUE(offer && offer->holding);
+  pushes.on_ejected(2100ms, {ReplicaId{2}, ReplicaId{3}});
+  const auto offer = pushes.take_push(2100ms);
+  ASSERT_TRUE(offer && offer->proxy_snapshot);
   EXPECT_TRUE(offer->recall);
-  EXPECT_EQ(offer->holding->since, SnapshotVersion{2});
-  pushes.failed(2200ms, scene.proxy);
-  EXPECT_EQ(pushes.lost(4700ms), std::vector{scene.proxy});
+  EXPECT_EQ(offer->proxy_snapshot->since, SnapshotVersion{2});
+  pushes.on_failed(2200ms, scene.proxy);
+  EXPECT_EQ(pushes.take_lost(4700ms), std::vector{scene.proxy});
 }
 
 // It came with a table of unknown make, and waits for a token: signs of life meanwhile do not put that off.
 TEST(PushScheduler, WhoWaitsForTheFirstTokenGetsIt) {
   PushScheduler pushes(kLively);
   const ProxyId proxy{1};
-  pushes.introduce(0s, proxy);
-  pushes.next(0s);
-  pushes.joined(0s, proxy, false);
-  pushes.ordered(0s, proxy, holding_of(9, {1}), 1);
+  pushes.add_known(0s, proxy);
+  pushes.take_push(0s);
+  pushes.on_joined(0s, proxy, false);
+  pushes.on_published(0s, proxy, snapshot_of(9, {1}), 1);
   Nanos now = 0s;
   for (; now < 2s; now += 20ms) {
-    const auto offer = pushes.next(now);
+    const auto offer = pushes.take_push(now);
     if (!offer) continue;
-    if (offer->holding) break;
-    pushes.met(now, proxy, SnapshotVersion{4});
+    if (offer->proxy_snapshot) break;
+    pushes.on_liveness(now, proxy, SnapshotVersion{4});
   }
   EXPECT_LT(now, 1200ms);
   EXPECT_GT(now, 500ms);
@@ -156,17 +157,18 @@
   Nanos now = 0s;
   for (int life = 0; life < 30; ++life) {
     PushScheduler pushes(kLimits);
-    pushes.introduce(now, proxy);
-    pushes.next(now);
-    pushes.joined(now, proxy, life == 0);
+    pushes.add_known(now, proxy);
+    pushes.take_push(now);
+    pushes.on_joined(now, proxy, life == 0);
     const Nanos dies = now + (life % 3 == 0 ? 700ms : 1500ms);
     for (; now < dies; now += 20ms) {
       if (now % 200ms == 0ns)
-        pushes.ordered(now, proxy, holding_of(++version, {static_cast<std::uint32_t>(version)}), 1);
-      const auto offer = pushes.next(now);
+        pushes.on_published(now, proxy, snapshot_of(++version, {static_cast<std::uint32_t>(version)}), 1);
+      const auto offer = pushes.take_push(now);
       if (!offer) continue;
-      if (offer->holding) messages.push_back(now);
-      pushes.taken(now, proxy, offer->holding ? offer->holding->since : SnapshotVersion{});
+      if (offer->proxy_snapshot) messages.push_back(now);
+      pushes.on_confirmed(now, proxy,
+                          offer->proxy_snapshot ? offer->proxy_snapshot->since : SnapshotVersion{});
       while (!messages.empty() && messages.front() <= now - 10s) messages.pop_front();
       EXPECT_LE(messages.size(), kLimits.max_messages_per_window);
     }
@@ -176,14 +178,14 @@
 
 TEST(PushScheduler, WhoFollowsAnotherIsGivenUpAtOnce) {
   PushScene scene;
-  scene.pushes.ordered(1s, scene.proxy, holding_of(2, {1}), 1);
-  scene.pushes.next(1s);
-  scene.pushes.refused(1s, scene.proxy);
-  EXPECT_FALSE(scene.pushes.held(scene.proxy));
-  EXPECT_FALSE(scene.pushes.next(1500ms));
+  scene.pushes.on_published(1s, scene.proxy, snapshot_of(2, {1}), 1);
+  scene.pushes.take_push(1s);
+  scene.pushes.on_rejected(1s, scene.proxy);
+  EXPECT_FALSE(scene.pushes.is_held(scene.proxy));
+  EXPECT_FALSE(scene.pushes.take_push(1500ms));
   EXPECT_EQ(scene.pushes.counts().waiting, 0);
   // Looked at now and then.
-  EXPECT_FALSE(scene.pushes.next(2100ms)->holding);
+  EXPECT_FALSE(scene.pushes.take_push(2100ms)->proxy_snapshot);
 }
 
 // A slow proxy holds up nobody; no window holds too many messages to any; what is confirmed last is what
@@ -195,9 +197,9 @@
   std::map<ProxyId, std::shared_ptr<const ProxySnapshot>> standing, given;
   std::multimap<Nanos, PendingPush> under_way;
   for (std::uint16_t p = 0; p < proxies; ++p) {
-    pushes.introduce(0s, ProxyId{p});
-    pushes.next(0s);
-    pushes.joined(0s, ProxyId{p}, true);
+    pushes.add_known(0s, ProxyId{p});
+    pushes.take_push(0s);
+    pushes.on_joined(0s, ProxyId{p}, true);
   }
   Nanos now = 0s;
   std::uint64_t version = 0;
@@ -206,16 +208,17 @@
       const auto offer = under_way.begin()->second;
       under_way.erase(under_way.begin());
       if (failing && *rc::gen::inRange(0, 4) == 0) {
-        pushes.failed(now, offer.proxy);
+        pushes.on_failed(now, offer.proxy);
       } else {
-        if (offer.holding) given[offer.proxy] = offer.holding;
-        pushes.taken(now, offer.proxy, offer.holding ? offer.holding->since : SnapshotVersion{});
+        if (offer.proxy_snapshot) given[offer.proxy] = offer.proxy_snapshot;
+        pushes.on_confirmed(now, offer.proxy,
+                            offer.proxy_snapshot ? offer.proxy_snapshot->since : SnapshotVersion{});
       }
     }
-    while (const auto offer = pushes.next(now)) {
-      if (offer->holding) {
+    while (const auto offer = pushes.take_push(now)) {
+      if (offer->proxy_snapshot) {
         auto& sent = messages[offer->proxy];
-        const auto since = static_cast<std::uint64_t>(offer->holding->since);
+        const auto since = static_cast<std::uint64_t>(offer->proxy_snapshot->since);
         if (sent.empty() || sent.back().second != since) sent.emplace_back(now, since);
         while (sent.front().first <= now - 10s) sent.pop_front();
         RC_ASSERT(sent.size() <= 12U);
@@ -228,13 +231,13 @@
     if (*rc::gen::arbitrary<bool>()) {
       const ProxyId proxy{static_cast<std::uint16_t>(*rc::gen::inRange(0, static_cast<int>(proxies)))};
       standing[proxy] =
-          *rc::gen::arbitrary<bool>() ? holding_of(++version, {1, 2}) : holding_of(++version, {2, 3});
-      pushes.ordered(now, proxy, standing[proxy], 2);
+          *rc::gen::arbitrary<bool>() ? snapshot_of(++version, {1, 2}) : snapshot_of(++version, {2, 3});
+      pushes.on_published(now, proxy, standing[proxy], 2);
     }
     turn(true);
   }
   for (int n = 0; n < 400; ++n) now += 50ms, turn(false);
-  for (const auto& [proxy, holding] : standing) RC_ASSERT(given[proxy] == holding);
+  for (const auto& [proxy, proxy_snapshot] : standing) RC_ASSERT(given[proxy] == proxy_snapshot);
   RC_ASSERT(pushes.counts().waiting == 0);
 }
 
@@ -267,7 +270,8 @@
   Keeper keeper;
   std::uint64_t made = 0, version = 0;
   const auto start = [&] {
-    return std::make_unique<LeaseTable>(*rc::gen::inRange<std::uint64_t>(1, 20), "g" + std::to_string(++made));
+    return std::make_unique<LeaseTable>(*rc::gen::inRange<std::uint64_t>(1, 20),
+                                        "g" + std::to_string(++made));
   };
   std::array<std::unique_ptr<LeaseTable>, 2> governors{start(), start()};
   std::map<std::string, LeaseTable::Standing> told;
@@ -284,7 +288,7 @@
       case 2: {
         const bool first = by.epoch(proxy) == 0;
         const auto seen = keeper.look(by, proxy);
-        const auto standing = by.met(proxy, seen);
+        const auto standing = by.observe(proxy, seen);
         if (standing == LeaseTable::Standing::claimed) RC_ASSERT(first || seen.stale);
         if (first) RC_ASSERT(standing == LeaseTable::Standing::claimed);
         told[by.owner()] = standing;
@@ -305,7 +309,7 @@
           claimed_late.erase(by.owner());
         } else {
           const auto seen = keeper.look(by, proxy);
-          told[by.owner()] = by.met(proxy, seen);
+          told[by.owner()] = by.observe(proxy, seen);
           RC_ASSERT((told[by.owner()] == LeaseTable::Standing::claimed) == seen.stale);
           if (seen.stale) claimed_late.insert(by.owner());
         }
@@ -315,4 +319,4 @@
 }
 
 }  // namespace
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -47,7 +47,8 @@
   for (int n = 1; n <= reports; ++n) {
     const Nanos at = begun + n * 1s;
     for (std::uint32_t r = 0; r < names.size(); ++r)
-      tap.on_replica_load_report(at, {ZoneId{0}, ReplicaId{r}, 9, r, 80ms, 1s, {0.5F}}, {ProxyId{0}, n * 1ms});
+      tap.on_replica_load_report(at, {ZoneId{0}, ReplicaId{r}, 9, r, 80ms, 1s, {0.5F}},
+                                 {ProxyId{0}, n * 1ms});
     tap.on_demand_report(at, {ClassId{0}, 20, 1, 1s}, {ProxyId{0}, n * 1ms});
     tap.on_demand_report(at, {ClassId{1}, 10, 0, 1s}, {ProxyId{0}, n * 1ms});
   }
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -158,14 +158,15 @@
       const auto proxy = *rc::gen::inRange<std::uint16_t>(0, 3);
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
-          tap.on_endpoint_list(now, EndpointListKind::changes,
-                            {{replica,
-                              ZoneId{static_cast<std::uint16_t>(proxy % 2)},
-                              {},
-                              {},
-                              *rc::gen::element(EndpointPhase::ready, EndpointPhase::draining, EndpointPhase::gone),
-                              1,
-                              now}});
+          tap.on_endpoint_list(
+              now, EndpointListKind::changes,
+              {{replica,
+                ZoneId{static_cast<std::uint16_t>(proxy % 2)},
+                {},
+                {},
+                *rc::gen::element(EndpointPhase::ready, EndpointPhase::draining, EndpointPhase::gone),
+                1,
+                now}});
           break;
         case 1:
           if (joined.insert(proxy).second) {
@@ -176,9 +177,9 @@
           }
           break;
         case 2:
-          tap.on_replica_load_report(now,
-                             {ZoneId{0}, replica, 10, *rc::gen::inRange<std::uint32_t>(0, 10), 200ms, 1s, {}},
-                             {ProxyId{proxy}, 0ns});
+          tap.on_replica_load_report(
+              now, {ZoneId{0}, replica, 10, *rc::gen::inRange<std::uint32_t>(0, 10), 200ms, 1s, {}},
+              {ProxyId{proxy}, 0ns});
           break;
         case 3:
           tap.on_demand_report(now, {ClassId{0}, 20, 2, 1s}, {ProxyId{proxy}, 0ns});
--- a/tests/program/routing_state_test.cpp
+++ b/tests/program/routing_state_test.cpp
@@ -1,4 +1,6 @@
 // The order book and the handouts beside plain models, on generated orders.
+#include "routing_state/routing_state.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -8,7 +10,6 @@
 #include <set>
 
 #include "routing_state/pull_delivery.h"
-#include "routing_state/routing_state.h"
 
 namespace ospreypost::routing_state {
 namespace {
@@ -90,11 +91,11 @@
       return;
     }
     case 6:
-      book.joined(proxy);
+      book.add_proxy(proxy);
       plain.bound[proxy] = {};
       return;
     default:
-      book.left(proxy);
+      book.remove_proxy(proxy);
       plain.bound.erase(proxy);
       return;
   }
@@ -118,15 +119,15 @@
     }
     for (std::uint16_t p = 0; p < 4; ++p) {
       const ProxyId proxy{p};
-      const auto holding = published ? published->version->holding_of(proxy) : last[proxy];
+      const auto proxy_snapshot = published ? published->version->snapshot_of(proxy) : last[proxy];
       // Who is told that something waits is who holds something else than before.
-      if (published) RC_ASSERT(pending.contains(proxy) == (holding && holding != last[proxy]));
-      last[proxy] = holding;
+      if (published) RC_ASSERT(pending.contains(proxy) == (proxy_snapshot && proxy_snapshot != last[proxy]));
+      last[proxy] = proxy_snapshot;
       for (std::size_t k = 0; k < kClasses; ++k) {
         const auto wanted = plain.view(proxy, k);
-        const bool held = holding && holding->views[k];
+        const bool held = proxy_snapshot && proxy_snapshot->routing_tables[k];
         RC_ASSERT(held == wanted.has_value());
-        if (held) RC_ASSERT(*holding->views[k] == *wanted);
+        if (held) RC_ASSERT(*proxy_snapshot->routing_tables[k] == *wanted);
       }
     }
   }
@@ -139,14 +140,14 @@
     const double weight = *rc::gen::inRange(0, 4);
     if (weight > 0) view->lines.push_back({ReplicaId{id}, weight});
   }
-  auto holding = std::make_shared<ProxySnapshot>();
-  holding->since = SnapshotVersion{since};
-  holding->views = {view};
-  return holding;
+  auto proxy_snapshot = std::make_shared<ProxySnapshot>();
+  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->routing_tables = {view};
+  return proxy_snapshot;
 }
 
-double weight_in(const ProxySnapshot& holding, ReplicaId id) {
-  for (const auto& line : holding.views[0]->lines) {
+double weight_in(const ProxySnapshot& proxy_snapshot, ReplicaId id) {
+  for (const auto& line : proxy_snapshot.routing_tables[0]->lines) {
     if (line.replica == id) return line.weight;
   }
   return 0;
@@ -159,18 +160,18 @@
   PullDelivery handouts({2, allowed, 10s});
   const ProxyId proxy{3};
   Nanos now{100s};
-  handouts.joined(now, proxy);
+  handouts.add_proxy(now, proxy);
   std::shared_ptr<const ProxySnapshot> standing, given;
   std::deque<Nanos> messages;
   for (int steps = *rc::gen::inRange(1, 200); steps > 0; --steps) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 400));
     if (*rc::gen::inRange(0, 3) == 0) {
       standing = random_holding(static_cast<std::uint64_t>(steps));
-      handouts.ordered(now, proxy, standing, 1 + static_cast<std::size_t>(*rc::gen::inRange(0, 9)));
+      handouts.on_published(now, proxy, standing, 1 + static_cast<std::size_t>(*rc::gen::inRange(0, 9)));
       RC_ASSERT(handouts.counts().waiting <= 2 + 6.0);
       continue;
     }
-    const auto answer = handouts.take(now, proxy);
+    const auto answer = handouts.take_answer(now, proxy);
     if (!answer) continue;
     if (answer != given) {
       messages.push_back(now);
@@ -183,26 +184,26 @@
   }
 }
 
-std::shared_ptr<const ProxySnapshot> holding_of(std::uint64_t since, std::vector<TableEntry> lines) {
+std::shared_ptr<const ProxySnapshot> snapshot_of(std::uint64_t since, std::vector<TableEntry> lines) {
   auto view = std::make_shared<RoutingTable>();
   view->lines = std::move(lines);
-  auto holding = std::make_shared<ProxySnapshot>();
-  holding->since = SnapshotVersion{since};
-  holding->views = {view};
-  return holding;
+  auto proxy_snapshot = std::make_shared<ProxySnapshot>();
+  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->routing_tables = {view};
+  return proxy_snapshot;
 }
 
 TEST(PullDelivery, AWithdrawalIsToldAtOnceWhileAPlainChangeWaits) {
   PullDelivery handouts({1, 12, 10s});
   const ProxyId proxy{0};
   const TableEntry a{ReplicaId{1}, 1}, b{ReplicaId{2}, 1}, c{ReplicaId{3}, 1};
-  handouts.joined(0s, proxy);
-  handouts.ordered(0s, proxy, holding_of(1, {a, b}), 2);
-  ASSERT_TRUE(handouts.take(0s, proxy));
-  handouts.ordered(10ms, proxy, holding_of(2, {a, b, c}), 1);
-  EXPECT_EQ(handouts.take(20ms, proxy)->since, SnapshotVersion{1});
-  handouts.ordered(30ms, proxy, holding_of(3, {a, c}), 1);
-  EXPECT_EQ(handouts.take(40ms, proxy)->since, SnapshotVersion{3});
+  handouts.add_proxy(0s, proxy);
+  handouts.on_published(0s, proxy, snapshot_of(1, {a, b}), 2);
+  ASSERT_TRUE(handouts.take_answer(0s, proxy));
+  handouts.on_published(10ms, proxy, snapshot_of(2, {a, b, c}), 1);
+  EXPECT_EQ(handouts.take_answer(20ms, proxy)->since, SnapshotVersion{1});
+  handouts.on_published(30ms, proxy, snapshot_of(3, {a, c}), 1);
+  EXPECT_EQ(handouts.take_answer(40ms, proxy)->since, SnapshotVersion{3});
   EXPECT_EQ(handouts.counts().held_back, 1U);
 }
 
@@ -210,20 +211,20 @@
   PullDelivery handouts({1, 12, 10s});
   const ProxyId proxy{0};
   const TableEntry a{ReplicaId{1}, 1};
-  handouts.joined(0s, proxy);
-  handouts.ordered(0s, proxy, holding_of(1, {a}), 1);
+  handouts.add_proxy(0s, proxy);
+  handouts.on_published(0s, proxy, snapshot_of(1, {a}), 1);
   handouts.request_acknowledgement(0s, AckRequestId{7}, SnapshotVersion{1}, {proxy});
-  EXPECT_TRUE(handouts.reached(1s, proxy).empty());
-  ASSERT_TRUE(handouts.take(1s, proxy));
-  const auto reached = handouts.reached(2s, proxy);
+  EXPECT_TRUE(handouts.take_acknowledged(1s, proxy).empty());
+  ASSERT_TRUE(handouts.take_answer(1s, proxy));
+  const auto reached = handouts.take_acknowledged(2s, proxy);
   ASSERT_EQ(reached.size(), 1U);
   EXPECT_EQ(reached[0].took, 2s);
-  EXPECT_TRUE(handouts.reached(3s, proxy).empty());
-  handouts.left(proxy);
-  handouts.joined(4s, proxy);
-  EXPECT_FALSE(handouts.take(4s, proxy));
+  EXPECT_TRUE(handouts.take_acknowledged(3s, proxy).empty());
+  handouts.remove_proxy(proxy);
+  handouts.add_proxy(4s, proxy);
+  EXPECT_FALSE(handouts.take_answer(4s, proxy));
   EXPECT_EQ(handouts.counts().waiting, 0);
 }
 
 }  // namespace
-}  // namespace ospreypost::book
+}  // namespace ospreypost::routing_state
--- a/tests/program/scenario_test.cpp
+++ b/tests/program/scenario_test.cpp
@@ -1,8 +1,9 @@
 // Day files: elements that stand for many troubles, and days made of records.
+#include "scenario/scenario.h"
+
 #include <gtest/gtest.h>
 
 #include "config/config.h"
-#include "scenario/scenario.h"
 #include "program/support.h"
 #include "replay/export_day.h"
 #include "terms/deployment.h"
@@ -82,7 +83,10 @@
     return EndpointUpdate{ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, phase, 1, started};
   };
   history.lists = {
-      {0s, EndpointListKind::cached, false, {entry(0, EndpointPhase::ready), entry(1, EndpointPhase::ready), entry(2, EndpointPhase::ready)}},
+      {0s,
+       EndpointListKind::cached,
+       false,
+       {entry(0, EndpointPhase::ready), entry(1, EndpointPhase::ready), entry(2, EndpointPhase::ready)}},
       {10s, EndpointListKind::changes, false, {entry(0, EndpointPhase::gone)}},
       {14s, EndpointListKind::changes, false, {entry(0, EndpointPhase::ready, 14s)}},
       {20s, EndpointListKind::changes, false, {entry(1, EndpointPhase::draining)}},
@@ -145,4 +149,4 @@
 }
 
 }  // namespace
-}  // namespace ospreypost::day
+}  // namespace ospreypost::scenario
--- a/tests/program/simulation_test.cpp
+++ b/tests/program/simulation_test.cpp
@@ -8,9 +8,9 @@
 #include <numeric>
 
 #include "program/support.h"
-#include "terms/deployment.h"
 #include "simulation/answer.h"
 #include "simulation/evidence.h"
+#include "terms/deployment.h"
 
 namespace ospreypost::simulation {
 namespace {
@@ -244,8 +244,10 @@
 // The judge sees what is played: by a limit that nobody could keep, a rule is broken.
 TEST(Played, IsJudged) {
   auto history = made_history(30s, 20);
-  history.lists.push_back(
-      {10500ms, EndpointListKind::changes, false, {{ReplicaId{0}, {}, {}, {}, EndpointPhase::draining, 1, {}}}});
+  history.lists.push_back({10500ms,
+                           EndpointListKind::changes,
+                           false,
+                           {{ReplicaId{0}, {}, {}, {}, EndpointPhase::draining, 1, {}}}});
   auto limits = deployment();
   for (const auto& rule : play(history, limits, made_fleet(), 1).verdict.rules)
     EXPECT_TRUE(rule.kept) << rule.name << ": " << rule.figures;
@@ -299,4 +301,4 @@
 }
 
 }  // namespace
-}  // namespace ospreypost::whatif
+}  // namespace ospreypost::simulation
--- a/tests/support.h
+++ b/tests/support.h
@@ -46,7 +46,8 @@
   return s;
 }
 
-inline EndpointUpdate entry(std::uint32_t id, std::uint16_t zone = 0, EndpointPhase phase = EndpointPhase::ready) {
+inline EndpointUpdate entry(std::uint32_t id, std::uint16_t zone = 0,
+                            EndpointPhase phase = EndpointPhase::ready) {
   EndpointUpdate e;
   e.replica = ReplicaId{id};
   e.zone = ZoneId{zone};
@@ -236,8 +237,8 @@
     for (int s = 0; s < 3; ++s) second({}, 8);
   }
   // Lets a second pass, then hands over what a zone met at each replica; `failed` of ten tries at `sick`.
-  void second(const std::map<std::uint32_t, unsigned>& failed = {}, unsigned at_all = 0, unsigned attempts = 10,
-              float use = 0.5F, Nanos span = 1s) {
+  void second(const std::map<std::uint32_t, unsigned>& failed = {}, unsigned at_all = 0,
+              unsigned attempts = 10, float use = 0.5F, Nanos span = 1s) {
     pass(span);
     for (std::uint32_t id = 0; id < 9; ++id) {
       if (host.withdrawn.contains(ReplicaId{id})) continue;
