--- a/src/control_plane/controller_driver.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -76,28 +76,49 @@
   }
 }
 
-void ControllerDriver::set_table_entry(TableId table, ReplicaId replica, double weight) {
-  routing_state_.set_table_entry(table, replica, weight);
+void ControllerDriver::handle(const SetTableEntry& action) {
+  routing_state_.set_table_entry(action.table, action.replica, action.weight);
 }
-void ControllerDriver::clear_table(TableId table) { routing_state_.clear_table(table); }
-void ControllerDriver::bind(ProxyId proxy, TableId table, ClassMask classes) {
-  routing_state_.bind(proxy, table, classes);
+
+void ControllerDriver::handle(const ClearTable& action) { routing_state_.clear_table(action.table); }
+
+void ControllerDriver::handle(const BindProxy& action) {
+  routing_state_.bind(action.proxy, action.table, action.classes);
 }
-void ControllerDriver::set_ejected(ReplicaId replica, bool out) {
-  routing_state_.set_ejected(replica, out);
+
+void ControllerDriver::handle(const SetEjected& action) {
+  routing_state_.set_ejected(action.replica, action.ejected);
   withdrawn_ = true;
-  frontend_.on_ejection_changed(replica, out);
+  frontend_.on_ejection_changed(action.replica, action.ejected);
 }
-void ControllerDriver::set_admitted_fraction(TableId table, ClassMask classes, double level,
-                                             RetryMode retry) {
-  routing_state_.set_admitted_fraction(table, classes, level, retry);
+
+void ControllerDriver::handle(const SetAdmittedFraction& action) {
+  routing_state_.set_admitted_fraction(action.table, action.classes, action.fraction, action.retry);
 }
-void ControllerDriver::request_acknowledgement(AckRequestId mark, bool reach_all) {
-  marks_.emplace_back(mark, reach_all);
+
+void ControllerDriver::handle(const RequestAcknowledgement& action) {
+  marks_.emplace_back(action.request, action.reach_all);
 }
-void ControllerDriver::start_timer(Nanos from_now, TimerId timer) {
-  timers_.start_timer(clock_() + from_now, timer);
+
+void ControllerDriver::handle(const StartTimer& action) {
+  timers_.start_timer(clock_() + action.delay, action.timer);
   time_changed_.notify_all();
 }
 
+void ControllerDriver::handle(const WatchEndpointList& action) {
+  frontend_.watch_endpoint_list(action.enabled);
+}
+
+void ControllerDriver::handle(const RefreshEndpointList&) { frontend_.refresh_endpoint_list(); }
+
+void ControllerDriver::handle(const RequestHealthCheck& action) {
+  frontend_.request_health_check(action.replica);
+}
+
+void ControllerDriver::handle(const SendToPeer& action) {
+  frontend_.send_to_peer(action.peer, action.message);
+}
+
+void ControllerDriver::handle(const LogLine& action) { frontend_.log(action.text); }
+
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -34,7 +34,7 @@
   virtual void log(std::string_view line) = 0;
 };
 
-class ControllerDriver : private ActionSink {
+class ControllerDriver : private ActionHandler {
  public:
   // The clock is monotonic and starts anywhere.
   using Clock = std::function<Nanos()>;
@@ -68,20 +68,18 @@
   Nanos now() const { return clock_(); }
 
  private:
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override;
-  void clear_table(TableId table) override;
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override;
-  void set_ejected(ReplicaId replica, bool out) override;
-  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override;
-  void request_acknowledgement(AckRequestId mark, bool reach_all) override;
-  void start_timer(Nanos from_now, TimerId timer) override;
-  void watch_endpoint_list(bool on) override { frontend_.watch_endpoint_list(on); }
-  void refresh_endpoint_list() override { frontend_.refresh_endpoint_list(); }
-  void request_health_check(ReplicaId replica) override { frontend_.request_health_check(replica); }
-  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override {
-    frontend_.send_to_peer(peer, message);
-  }
-  void log(std::string_view line) override { frontend_.log(line); }
+  void handle(const SetTableEntry& action) override;
+  void handle(const ClearTable& action) override;
+  void handle(const BindProxy& action) override;
+  void handle(const SetEjected& action) override;
+  void handle(const SetAdmittedFraction& action) override;
+  void handle(const RequestAcknowledgement& action) override;
+  void handle(const StartTimer& action) override;
+  void handle(const WatchEndpointList& action) override;
+  void handle(const RefreshEndpointList& action) override;
+  void handle(const RequestHealthCheck& action) override;
+  void handle(const SendToPeer& action) override;
+  void handle(const LogLine& action) override;
 
   void on_called(Nanos now);
   void publish(Nanos now);
--- /dev/null
+++ b/src/policy/control_loop.h
@@ -0,0 +1,76 @@
+/// The parts of the decision module, and the order in which they work on each event and in each iteration.
+#pragma once
+
+#include <random>
+
+#include "policy/admission_controller.h"
+#include "policy/control_channel.h"
+#include "policy/controller.h"
+#include "policy/endpoint_membership.h"
+#include "policy/fleet_statistics.h"
+#include "policy/load_feedback.h"
+#include "policy/load_signal.h"
+#include "policy/locality_planner.h"
+#include "policy/outlier_detector.h"
+#include "policy/request_classes.h"
+#include "policy/slow_start.h"
+#include "policy/subset_assignment.h"
+#include "policy/table_publisher.h"
+
+namespace ospreypost {
+
+/// What a controller is made of. What must not wait (draining, ejections, a proxy without a table) is done
+/// with the event; all else in the next iteration.
+class Controller::ControlLoop {
+ public:
+  ControlLoop(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& actions);
+
+  void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
+  void on_endpoint_list_failed();
+  void on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_requests_per_second);
+  void on_proxy_left(ProxyId proxy);
+  void on_replica_load_report(Nanos now, const ReplicaLoadReport& report);
+  void on_demand_report(Nanos now, ProxyId proxy, const DemandReport& demand);
+  void on_acknowledged(Nanos now, AckRequestId request);
+  void on_health_check_result(Nanos now, const HealthCheckResult& result);
+  void on_timer(Nanos now, TimerId timer);
+
+ private:
+  void run_iteration();
+  void apply(const EndpointUpdate& update, bool known_before_start);
+  void forget_expired_replicas();
+  void request_health_checks();
+  void collect_statistics();
+  void restore_endpoints();
+  void bind_unassigned_proxies();
+  void migrate_proxies();
+  void bind(ProxyId proxy, std::size_t subset, double queue_fraction);
+  void publish();
+
+  policy::ReplicaMap& replicas() { return membership_.replicas(); }
+  std::size_t zones() const { return assignment_.layout().zones(); }
+
+  ActionSink& actions_;
+  const Nanos interval_;
+  std::mt19937 random_;
+
+  policy::EvidenceClock clock_;
+  policy::RequestClasses classes_;
+  policy::LoadSignal load_signal_;
+  policy::SlowStart slow_start_;
+  policy::EndpointMembership membership_;
+  policy::OutlierDetector outlier_detector_;
+  policy::LoadFeedback load_feedback_;
+  policy::AdmissionController admission_;
+  policy::SubsetAssignment assignment_;
+  policy::LocalityPlanner planner_;
+  policy::ControlChannel channel_;
+  policy::TablePublisher publisher_;
+
+  policy::FleetStatistics fleet_;  // of the last iteration or list
+  policy::ProxyDemand demand_;     // as of then
+  unsigned iteration_ = 0;
+  int list_failures_ = 0;  // in a row
+};
+
+}  // namespace ospreypost
--- /dev/null
+++ b/src/policy/numeric.h
@@ -0,0 +1,21 @@
+/// Small helpers for seconds and sums.
+#pragma once
+
+#include <numeric>
+#include <vector>
+
+#include "policy/types.h"
+
+namespace ospreypost::policy {
+
+/// One value for each zone, block or class.
+using Values = std::vector<double>;
+
+/// Keeps divisions defined where nothing was seen yet.
+inline constexpr double kTiny = 1e-9;
+
+inline double to_seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
+inline Nanos from_seconds(double seconds) { return Nanos(static_cast<Nanos::rep>(seconds * 1e9)); }
+inline double sum_of(const Values& values) { return std::accumulate(values.begin(), values.end(), 0.0); }
+
+}  // namespace ospreypost::policy
--- /dev/null
+++ b/src/policy/slow_start.cpp
@@ -0,0 +1,75 @@
+#include "policy/slow_start.h"
+
+#include <algorithm>
+#include <string>
+
+namespace ospreypost::policy {
+namespace {
+
+// Of the way to the congestion that overloads a replica which warms up.
+constexpr double kHoldCongestion = 0.15;
+constexpr double kReleaseCongestion = 0.1;
+
+constexpr double kMinInitialCapacity = 0.01;
+constexpr Nanos kMinWarmUpDuration = std::chrono::milliseconds(1);
+
+}  // namespace
+
+SlowStart::SlowStart(const Settings& settings)
+    : initial_capacity_(std::clamp(settings.initial_warm_up_capacity, kMinInitialCapacity, 1.0)),
+      warm_up_duration_(std::max<Nanos>(settings.warm_up_duration, kMinWarmUpDuration)),
+      overload_multiple_(settings.overload_multiple),
+      overloads_while_warming_up_(settings.warm_up_duration > settings.overload_duration),
+      holds_(std::max<std::size_t>(settings.zones, 1)) {}
+
+bool SlowStart::is_warming_up(const Replica& replica, Nanos now) const {
+  return replica.endpoint.started && now < *replica.endpoint.started + warm_up_duration_;
+}
+
+bool SlowStart::may_serve(const Replica& replica, Nanos now) const {
+  return replica.is_ready() && !replica.breaker.is_open() &&
+         !(holds_[replica.endpoint.zone] && is_warming_up(replica, now));
+}
+
+double SlowStart::ramp_fraction(const Replica& replica, Nanos now) const {
+  if (const auto anchored_at = replica.breaker.anchored_at()) {
+    const double climbed = to_seconds(now - *anchored_at);
+    return kFloor * kAnchor + (1 - kFloor * kAnchor) * climbed / to_seconds(kClimbDuration);
+  }
+  return replica.breaker.is_half_open() ? kFloor : 1;
+}
+
+double SlowStart::weight_fraction(const Replica& replica, Nanos now, double pressure) const {
+  double fraction = ramp_fraction(replica, now);
+  // Against thin traffic holding back what nobody doubts: a new replica climbs at least as it is sure to
+  // warm. Not while too much is asked of all, if that can overload it: proxies come down on the newest entry.
+  if (replica.added && (pressure <= 1 || !overloads_while_warming_up_)) {
+    const double since_added = to_seconds(now - *replica.added);
+    fraction = std::max(fraction, kFloor + (1 - kFloor) * since_added / to_seconds(warm_up_duration_));
+  }
+  double warmed = 1;
+  if (is_warming_up(replica, now)) {
+    warmed = std::max(0.0, to_seconds(now - *replica.endpoint.started) / to_seconds(warm_up_duration_));
+  }
+  return std::min({1.0, fraction, initial_capacity_ + (1 - initial_capacity_) * warmed});
+}
+
+double SlowStart::weight_of(const Replica& replica, Nanos now, double pressure) const {
+  return replica.stepped_weight() * weight_fraction(replica, now, pressure);
+}
+
+void SlowStart::update_holds(const Values& attempts_per_success, ActionSink& actions) {
+  for (std::size_t zone = 0; zone < holds_.size(); ++zone) {
+    // Where zones keep to themselves one may be congested alone.
+    const double congestion = (attempts_per_success[zone] - 1) / (overload_multiple_ - 1);
+    const bool hold = congestion > (holds_[zone] ? kReleaseCongestion : kHoldCongestion);
+    if (hold != holds_[zone]) {
+      actions.log((hold ? "hold cold in zone " : "release cold in zone ") + std::to_string(zone));
+    }
+    holds_[zone] = hold;
+  }
+}
+
+void SlowStart::release_all() { holds_.assign(holds_.size(), false); }
+
+}  // namespace ospreypost::policy
--- /dev/null
+++ b/src/policy/table_publisher.cpp
@@ -0,0 +1,289 @@
+#include "policy/table_publisher.h"
+
+#include <algorithm>
+#include <cmath>
+#include <numeric>
+
+namespace ospreypost::policy {
+namespace {
+
+/// Relative change of an entry below which it is not sent.
+constexpr double kMinRelativeChange = 0.08;
+/// The fuller the channel the more a change must matter, up to this part of its plain limit left.
+constexpr double kMinChannelLeft = 0.2;
+/// Messages of the window that are kept for a proxy that joins or migrates between two messages to its
+/// subset.
+constexpr double kReservedMessages = 3;
+
+Nanos min_message_gap(const Settings& settings) {
+  if (settings.max_messages_per_window == 0) return Nanos{};
+  const double messages = static_cast<double>(settings.max_messages_per_window) - kReservedMessages;
+  return from_seconds(to_seconds(settings.message_window) / std::max(1.0, messages));
+}
+
+double total_weight(const TableEntries& table) {
+  double total = 0;
+  for (const auto& [id, weight] : table) total += weight;
+  return total;
+}
+
+}  // namespace
+
+/// What one publication works with.
+struct TablePublisher::Publication {
+  const WantedState& wanted;
+  ReplicaMap& replicas;
+  const SlowStart& slow_start;
+  const SubsetAssignment& assignment;
+  Nanos now;
+  MessageBatch batch;
+
+  bool may_serve(const Replica& replica) const { return slow_start.may_serve(replica, now); }
+};
+
+TablePublisher::TablePublisher(const Settings& settings, ControlChannel& channel, ActionSink& actions)
+    : channel_(channel),
+      actions_(actions),
+      stated_overhead_(settings.message_overhead_entries),
+      min_message_gap_(min_message_gap(settings)),
+      publish_interval_(std::max<Nanos>(settings.report_interval, 3 * min_message_gap_ / 2)),
+      admitted_fractions_(settings.classes.size(), 1.0),
+      message_overhead_(stated_overhead_ + 1) {}  // with its acknowledgement request
+
+void TablePublisher::set_table_count(std::size_t subsets, std::size_t groups) {
+  if (!tables_.empty()) return;
+  tables_.assign(subsets, std::vector<TableEntries>(groups));
+  last_messages_.assign(subsets, Nanos{});
+}
+
+TableId TablePublisher::table_id(std::size_t subset, std::size_t group) const {
+  return TableId{static_cast<std::uint16_t>(subset * tables_[subset].size() + group)};
+}
+
+std::vector<std::size_t> TablePublisher::holders_of(ReplicaId id) const {
+  std::vector<std::size_t> holders;
+  for (std::size_t subset = 0; subset < tables_.size(); ++subset) {
+    const auto holds = [id](const TableEntries& table) { return table.contains(id); };
+    if (std::any_of(tables_[subset].begin(), tables_[subset].end(), holds)) holders.push_back(subset);
+  }
+  return holders;
+}
+
+void TablePublisher::publish(const WantedState& wanted, ReplicaMap& replicas, const SlowStart& slow_start,
+                             const SubsetAssignment& assignment, Nanos now) {
+  is_urgent_ = false;
+  const MessageBatch::Pacing pacing{last_messages_, min_message_gap_};
+  Publication publication{wanted,     replicas, slow_start,
+                          assignment, now,      {channel_, assignment, pacing, message_overhead_, now}};
+  eject(publication);
+  send_admission(publication);
+  const std::set<ReplicaId> unsent = send_tables(publication);
+  readmit(publication, unsent);
+  for (std::size_t subset = 0; subset < tables_.size(); ++subset) {
+    if (!publication.batch.has_message(subset) || assignment.subsets()[subset].proxies <= 0) continue;
+    last_messages_[subset] = now;
+    next_publication_ = now + publish_interval_;
+  }
+}
+
+void TablePublisher::eject(Publication& publication) {
+  for (auto& [id, replica] : publication.replicas) {
+    if (!replica.ejected && !publication.may_serve(replica)) eject_one(publication, id, replica);
+  }
+}
+
+void TablePublisher::eject_one(Publication& publication, ReplicaId id, Replica& replica) {
+  const auto holders = holders_of(id);
+  replica.ejected = publication.batch.try_reserve(holders, 1, MessageBatch::Unassigned::included);
+  if (!replica.ejected) {
+    for (const auto subset : holders) publication.batch.hold_back(subset);
+    is_urgent_ = true;
+    return;
+  }
+  // What drains or is gone for good leaves the tables in one go, and so never costs a second entry.
+  if (!replica.is_ready()) {
+    for (const auto subset : holders) {
+      for (std::size_t group = 0; group < tables_[subset].size(); ++group) {
+        if (tables_[subset][group].erase(id) > 0) actions_.set_table_entry(table_id(subset, group), id, 0);
+      }
+    }
+  }
+  actions_.set_ejected(id, true);
+}
+
+void TablePublisher::send_admission(Publication& publication) {
+  const auto& wanted = publication.wanted;
+  std::vector<std::size_t> changed;
+  for (std::size_t cls = 0; cls < admitted_fractions_.size(); ++cls) {
+    const double published = admitted_fractions_[cls];
+    const double fraction = wanted.admitted_fractions[cls];
+    const bool admits_all_again = fraction >= 1 && published < 1;
+    const bool differs = std::abs(fraction - published) > kMinRelativeChange;
+    if (admits_all_again || differs || wanted.retry_mode != retry_mode_) changed.push_back(cls);
+  }
+  if (changed.empty()) return;
+  std::vector<std::size_t> all_subsets(tables_.size());
+  std::iota(all_subsets.begin(), all_subsets.end(), std::size_t{0});
+  const auto entries = static_cast<double>(changed.size());
+  if (!publication.batch.try_reserve(all_subsets, entries, MessageBatch::Unassigned::included)) return;
+  for (const auto cls : changed) {
+    admitted_fractions_[cls] = wanted.admitted_fractions[cls];
+    actions_.set_admitted_fraction(kAllTables, static_cast<ClassMask>(1U << cls), admitted_fractions_[cls],
+                                   wanted.retry_mode);
+  }
+  retry_mode_ = wanted.retry_mode;
+  // Every later message carries them.
+  message_overhead_ = stated_overhead_ + 1 + static_cast<double>(admitted_fractions_.size());
+  publication.batch.set_message_overhead(message_overhead_);
+}
+
+std::set<ReplicaId> TablePublisher::send_tables(Publication& publication) {
+  // Only what keeps a proxy from being without endpoints may use the part of the channel for urgent entries.
+  const double urgent_capacity = (kUrgentQueueFraction - kPlainQueueFraction) * channel_.max_queued_entries();
+  publication.batch.change_capacity(-urgent_capacity);
+  std::set<ReplicaId> unsent;
+  for (const auto& subset_changes : find_changes(publication)) {
+    const std::size_t sent = send_changes(publication, subset_changes, urgent_capacity);
+    const auto& changes = subset_changes.changes;
+    for (std::size_t position = sent; position < changes.size(); ++position) {
+      unsent.insert(changes[position].replica);
+    }
+  }
+  publication.batch.change_capacity(urgent_capacity);
+  return unsent;
+}
+
+std::vector<TablePublisher::SubsetChanges> TablePublisher::find_changes(const Publication& publication) {
+  const double plain_limit = kPlainQueueFraction * channel_.max_queued_entries();
+  const double channel_left = 1 - channel_.queued_entries(publication.now) / plain_limit;
+  const double min_change = kMinRelativeChange / std::max(kMinChannelLeft, channel_left);
+  std::vector<SubsetChanges> all;
+  for (std::size_t subset = 0; subset < tables_.size(); ++subset) {
+    SubsetChanges found{subset, has_endpoints(publication, subset), 0,
+                        changes_of(publication, subset, min_change)};
+    for (const auto& change : found.changes) found.total_difference += change.difference;
+    all.push_back(std::move(found));
+  }
+  // First those without endpoints, then those that are furthest off.
+  std::stable_sort(all.begin(), all.end(), [](const SubsetChanges& left, const SubsetChanges& right) {
+    if (left.has_endpoints != right.has_endpoints) return right.has_endpoints;
+    return left.total_difference > right.total_difference;
+  });
+  return all;
+}
+
+/// Returns how many of the changes were sent, from the first on.
+std::size_t TablePublisher::send_changes(Publication& publication, const SubsetChanges& subset_changes,
+                                         double urgent_capacity) {
+  auto& batch = publication.batch;
+  const auto& [subset, has_endpoints, total_difference, changes] = subset_changes;
+  // Nothing may keep an entry from proxies that have none.
+  if (!has_endpoints) {
+    batch.release(subset);
+    batch.change_capacity(urgent_capacity);
+  }
+  const double proxies = publication.assignment.subsets()[subset].proxies;
+  const double capacity = std::max(0.0, batch.capacity() / std::max(1.0, proxies) - batch.message_overhead());
+  std::size_t fitting = std::min(changes.size(), static_cast<std::size_t>(capacity));
+  if (fitting > 0 &&
+      !batch.try_reserve({subset}, static_cast<double>(fitting), MessageBatch::Unassigned::excluded)) {
+    fitting = 0;
+  }
+  if (!has_endpoints) batch.change_capacity(-urgent_capacity);
+  for (std::size_t position = 0; position < fitting; ++position) {
+    const auto& change = changes[position];
+    auto& table = tables_[subset][change.group];
+    actions_.set_table_entry(table_id(subset, change.group), change.replica, change.weight);
+    if (change.weight > 0) {
+      table[change.replica] = change.weight;
+    } else {
+      table.erase(change.replica);
+    }
+  }
+  return fitting;
+}
+
+bool TablePublisher::has_endpoints(const Publication& publication, std::size_t subset) const {
+  const auto may_be_picked = [&](const TableEntries::value_type& entry) {
+    const auto& replica = publication.replicas.at(entry.first);
+    return !replica.ejected && publication.may_serve(replica);
+  };
+  return std::all_of(tables_[subset].begin(), tables_[subset].end(), [&](const TableEntries& table) {
+    return std::any_of(table.begin(), table.end(), may_be_picked);
+  });
+}
+
+/// How a subset's tables differ from those wanted, the furthest off first.
+std::vector<TablePublisher::Change> TablePublisher::changes_of(const Publication& publication,
+                                                               std::size_t subset, double min_change) const {
+  std::vector<Change> changes;
+  for (std::size_t group = 0; group < tables_[subset].size(); ++group) {
+    const auto& wanted = publication.wanted.tables.at(subset, group);
+    // An empty table would leave its proxies without endpoints.
+    if (wanted.empty()) continue;
+    const auto& published = tables_[subset][group];
+    const double weights = total_weight(wanted);
+    for (const auto& [id, weight] : wanted) {
+      const auto entry = published.find(id);
+      const bool is_new = entry == published.end();
+      const double published_weight = is_new ? 0 : entry->second;
+      const double difference = std::abs(weight - published_weight);
+      // An entry that comes or falls by half, as of what restarted, goes before any other.
+      const bool goes_first = is_new || weight < published_weight / 2;
+      if (!goes_first && difference <= min_change * published_weight) continue;
+      changes.push_back({difference / weights + (goes_first ? 1 : 0), group, id, weight});
+    }
+    add_missing(publication, subset, group, changes);
+  }
+  std::stable_sort(changes.begin(), changes.end(), [](const Change& left, const Change& right) {
+    return left.difference > right.difference;
+  });
+  return changes;
+}
+
+/// Adds the removal of what is published but no longer wanted.
+void TablePublisher::add_missing(const Publication& publication, std::size_t subset, std::size_t group,
+                                 std::vector<Change>& changes) const {
+  const auto& wanted = publication.wanted.tables.at(subset, group);
+  for (const auto& [id, weight] : tables_[subset][group]) {
+    const auto& replica = publication.replicas.at(id);
+    // An ejected replica may keep its entry for its return, unless it is gone for good.
+    const bool will_return = replica.breaker.is_open() && replica.is_ready();
+    if (!wanted.contains(id) && !will_return) changes.push_back({0, group, id, 0});
+  }
+}
+
+void TablePublisher::readmit(Publication& publication, const std::set<ReplicaId>& unsent) {
+  for (auto& [id, replica] : publication.replicas) {
+    // The entry that it had before its ejection must not be used again.
+    if (!replica.ejected || !publication.may_serve(replica) || unsent.contains(id)) continue;
+    if (!publication.batch.try_reserve(holders_of(id), 1, MessageBatch::Unassigned::included)) continue;
+    actions_.set_ejected(id, false);
+    replica.ejected = false;
+  }
+}
+
+std::optional<double> TablePublisher::cost_of_binding(std::size_t subset, const ReplicaMap& replicas) const {
+  double entries = message_overhead_;
+  for (const auto& table : tables_[subset]) {
+    if (table.empty()) return std::nullopt;
+    entries += 1.0 + static_cast<double>(table.size() + admitted_fractions_.size());
+    for (const auto& [id, weight] : table) entries += replicas.at(id).ejected ? 1 : 0;
+  }
+  return entries;
+}
+
+bool TablePublisher::bind(ProxyId proxy, std::size_t subset, const std::vector<RoutingGroup>& groups,
+                          const ReplicaMap& replicas, double queue_fraction, Nanos now) {
+  const auto entries = cost_of_binding(subset, replicas);
+  if (!entries) return false;
+  const double max_queued = queue_fraction * channel_.max_queued_entries();
+  if (channel_.queued_entries(now) + *entries > max_queued) return false;
+  channel_.add(*entries, 1);
+  for (std::size_t group = 0; group < groups.size(); ++group) {
+    actions_.bind(proxy, table_id(subset, group), groups[group].classes);
+  }
+  return true;
+}
+
+}  // namespace ospreypost::policy
--- a/src/record/recording_controller.cpp
+++ b/src/record/recording_controller.cpp
@@ -1,6 +1,7 @@
 #include "record/recording_controller.h"
 
 #include "record.pb.h"
+#include "record/action_encoder.h"
 #include "record/writer.h"
 
 namespace ospreypost::record {
@@ -33,7 +34,7 @@
 
 RecordingController::RecordingController(const Settings& settings, std::uint64_t seed, Nanos now,
                                          ActionSink& host, Writer* writer, const std::string& configuration)
-    : host_(host), writer_(writer), entry_(std::make_unique<Entry>()), notes_(*entry_) {
+    : host_(host), writer_(writer), entry_(std::make_unique<Entry>()) {
   call(
       now,
       [&](Entry& entry) {
@@ -173,56 +174,9 @@
       [] {});
 }
 
-// --- Orders
-
-void RecordingController::set_table_entry(TableId table, ReplicaId replica, double weight) {
-  notes_.set_table_entry(table, replica, weight);
-  host_.set_table_entry(table, replica, weight);
-}
-void RecordingController::clear_table(TableId table) {
-  notes_.clear_table(table);
-  host_.clear_table(table);
-}
-void RecordingController::bind(ProxyId proxy, TableId table, ClassMask classes) {
-  notes_.bind(proxy, table, classes);
-  host_.bind(proxy, table, classes);
-}
-void RecordingController::set_ejected(ReplicaId replica, bool out) {
-  notes_.set_ejected(replica, out);
-  host_.set_ejected(replica, out);
-}
-void RecordingController::set_admitted_fraction(TableId table, ClassMask classes, double level,
-                                                RetryMode retry) {
-  notes_.set_admitted_fraction(table, classes, level, retry);
-  host_.set_admitted_fraction(table, classes, level, retry);
-}
-void RecordingController::request_acknowledgement(AckRequestId mark, bool reach_all) {
-  notes_.request_acknowledgement(mark, reach_all);
-  host_.request_acknowledgement(mark, reach_all);
-}
-void RecordingController::start_timer(Nanos from_now, TimerId timer) {
-  notes_.start_timer(from_now, timer);
-  host_.start_timer(from_now, timer);
-}
-void RecordingController::watch_endpoint_list(bool on) {
-  notes_.watch_endpoint_list(on);
-  host_.watch_endpoint_list(on);
-}
-void RecordingController::refresh_endpoint_list() {
-  notes_.refresh_endpoint_list();
-  host_.refresh_endpoint_list();
-}
-void RecordingController::request_health_check(ReplicaId replica) {
-  notes_.request_health_check(replica);
-  host_.request_health_check(replica);
-}
-void RecordingController::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
-  notes_.send_to_peer(peer, message);
-  host_.send_to_peer(peer, message);
-}
-void RecordingController::log(std::string_view line) {
-  notes_.log(line);
-  host_.log(line);
+void RecordingController::on_action(const Action& action) {
+  encode_action(action, *entry_);
+  host_.on_action(action);
 }
 
 }  // namespace ospreypost::record
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -6,9 +6,12 @@
 #include <string>
 
 #include "policy/controller.h"
-#include "record/action_encoder.h"
 #include "record/origin.h"
 
+namespace ospreypost::kept {
+class Entry;
+}
+
 namespace ospreypost::record {
 
 class Writer;
@@ -34,18 +37,7 @@
   void named(Nanos now, ReplicaId replica, const std::string& name);
 
  private:
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override;
-  void clear_table(TableId table) override;
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override;
-  void set_ejected(ReplicaId replica, bool out) override;
-  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override;
-  void request_acknowledgement(AckRequestId mark, bool reach_all) override;
-  void start_timer(Nanos from_now, TimerId timer) override;
-  void watch_endpoint_list(bool on) override;
-  void refresh_endpoint_list() override;
-  void request_health_check(ReplicaId replica) override;
-  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override;
-  void log(std::string_view line) override;
+  void on_action(const Action& action) override;
 
   // Makes the call, with its entry open for the orders, and hands the entry on.
   template <typename Fill, typename Make>
@@ -54,7 +46,6 @@
   ActionSink& host_;
   Writer* const writer_;
   std::unique_ptr<kept::Entry> entry_;  // of the call being made
-  ActionEncoder notes_;
   std::string text_;
   std::unique_ptr<Controller> governor_;
 };
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -89,7 +89,7 @@
   return false;
 }
 
-class Replaying : private record::Visitor {
+class Replaying : private record::Visitor, private ActionSink {
  public:
   explicit Replaying(const Options& options) : options_(options) {}
 
@@ -112,7 +112,8 @@
     replayed_.clear_orders();
     if (entry.call_case() == Entry::kBegin) {
       const auto [settings, seed] = options_.settings_of(entry.begin().configuration());
-      governor_ = std::make_unique<Controller>(settings, seed, Nanos(entry.at()), host_);
+      governor_ =
+          std::make_unique<Controller>(settings, seed, Nanos(entry.at()), static_cast<ActionSink&>(*this));
       ++outcome_.governors;
     } else if (!governor_) {
       ++outcome_.unplayed;
@@ -123,6 +124,8 @@
     compare(entry);
   }
 
+  void on_action(const Action& action) override { record::encode_action(action, replayed_); }
+
   void compare(const Entry& entry) {
     for (int n = 0; n < std::max(entry.orders_size(), replayed_.orders_size()); ++n) {
       std::string then, now;
@@ -148,7 +151,6 @@
   const Options& options_;
   Outcome outcome_;
   Entry replayed_;  // the orders that are made now
-  record::ActionEncoder host_{replayed_};
   std::unique_ptr<Controller> governor_;
   std::uint64_t digest_ = 0;
 };
--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -54,7 +54,7 @@
 }
 
 // One governor, from a recorded start to its end.
-class Governing : private ActionSink {
+class Governing : private ActionHandler {
  public:
   Governing(const Deployment& deployment, EventQueue& clock)
       : deployment_(deployment),
@@ -119,38 +119,36 @@
       pull_delivery_.request_acknowledgement(now, mark, version_->number, version_->marked(reach_all));
   }
 
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
-    routing_state_.set_table_entry(table, replica, weight);
+  using ActionHandler::handle;
+  void handle(const SetTableEntry& action) override {
+    routing_state_.set_table_entry(action.table, action.replica, action.weight);
   }
-  void clear_table(TableId table) override { routing_state_.clear_table(table); }
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override {
-    routing_state_.bind(proxy, table, classes);
+  void handle(const ClearTable& action) override { routing_state_.clear_table(action.table); }
+  void handle(const BindProxy& action) override {
+    routing_state_.bind(action.proxy, action.table, action.classes);
   }
-  void set_ejected(ReplicaId replica, bool out) override {
-    routing_state_.set_ejected(replica, out);
-    if (on_withdrawal) on_withdrawal({clock_.now(), replica, out});
+  void handle(const SetEjected& action) override {
+    routing_state_.set_ejected(action.replica, action.ejected);
+    if (on_withdrawal) on_withdrawal({clock_.now(), action.replica, action.ejected});
   }
-  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
-    routing_state_.set_admitted_fraction(table, classes, level, retry);
+  void handle(const SetAdmittedFraction& action) override {
+    routing_state_.set_admitted_fraction(action.table, action.classes, action.fraction, action.retry);
   }
-  void request_acknowledgement(AckRequestId mark, bool reach_all) override {
-    marks_.emplace_back(mark, reach_all);
+  void handle(const RequestAcknowledgement& action) override {
+    marks_.emplace_back(action.request, action.reach_all);
   }
-  void start_timer(Nanos from_now, TimerId timer) override {
-    clock_.at(clock_.now() + from_now, [this, timer, alive = std::weak_ptr<int>(alive_)] {
+  void handle(const StartTimer& action) override {
+    clock_.at(clock_.now() + action.delay, [this, timer = action.timer, alive = std::weak_ptr<int>(alive_)] {
       if (!alive.expired()) call([&](Controller& governor, Nanos now) { governor.on_timer(now, timer); });
     });
   }
-  void watch_endpoint_list(bool) override {}
-  void refresh_endpoint_list() override {}
-  void request_health_check(ReplicaId replica) override {
-    clock_.at(clock_.now() + kProbeTime, [this, replica, alive = std::weak_ptr<int>(alive_)] {
+  void handle(const RequestHealthCheck& action) override {
+    clock_.at(clock_.now() + kProbeTime, [this, replica = action.replica,
+                                          alive = std::weak_ptr<int>(alive_)] {
       if (alive.expired() || !on_probe) return;
       call([&](Controller& governor, Nanos now) { governor.on_health_check_result(now, on_probe(replica)); });
     });
   }
-  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
-  void log(std::string_view) override {}
 
   const Deployment& deployment_;
   EventQueue& clock_;
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -17,38 +17,42 @@
 
 constexpr std::size_t kBatchHeader = 12;
 
-class WireHost : public ActionSink {
+class WireHost : public ActionHandler {
  public:
   explicit WireHost(simulator::ReplyFrame& reply) : reply_(reply) {}
 
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
-    reply_.record(ActionCode::endpoint, replica, table, static_cast<float>(weight));
+ protected:
+  void handle(const SetTableEntry& action) override {
+    reply_.record(ActionCode::endpoint, action.replica, action.table, static_cast<float>(action.weight));
   }
-  void clear_table(TableId table) override { reply_.record(ActionCode::empty, table); }
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override {
-    reply_.record(ActionCode::pin, classes, table, proxy);
+  void handle(const ClearTable& action) override { reply_.record(ActionCode::empty, action.table); }
+  void handle(const BindProxy& action) override {
+    reply_.record(ActionCode::pin, action.classes, action.table, action.proxy);
   }
-  void set_ejected(ReplicaId replica, bool out) override {
-    reply_.record(ActionCode::cordon, replica, static_cast<std::uint8_t>(out));
+  void handle(const SetEjected& action) override {
+    reply_.record(ActionCode::cordon, action.replica, static_cast<std::uint8_t>(action.ejected));
   }
-  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
-    reply_.record(ActionCode::set_admitted_fraction, static_cast<float>(level), classes, retry, table);
+  void handle(const SetAdmittedFraction& action) override {
+    reply_.record(ActionCode::set_admitted_fraction, static_cast<float>(action.fraction), action.classes,
+                  action.retry, action.table);
   }
-  void request_acknowledgement(AckRequestId mark, bool reach_all) override {
-    reply_.record(ActionCode::mark, static_cast<std::uint8_t>(reach_all), mark);
+  void handle(const RequestAcknowledgement& action) override {
+    reply_.record(ActionCode::mark, static_cast<std::uint8_t>(action.reach_all), action.request);
   }
-  void start_timer(Nanos from_now, TimerId timer) override {
-    reply_.record(ActionCode::arm, static_cast<double>(from_now.count()) / 1e9, timer);
+  void handle(const StartTimer& action) override {
+    reply_.record(ActionCode::arm, static_cast<double>(action.delay.count()) / 1e9, action.timer);
   }
-  void watch_endpoint_list(bool on) override {
-    reply_.record(ActionCode::watch, static_cast<std::uint8_t>(on));
+  void handle(const WatchEndpointList& action) override {
+    reply_.record(ActionCode::watch, static_cast<std::uint8_t>(action.enabled));
   }
-  void refresh_endpoint_list() override { reply_.record(ActionCode::lookup); }
-  void request_health_check(ReplicaId replica) override { reply_.record(ActionCode::ask_load, replica); }
-  void send_to_peer(std::optional<PeerId> peer, std::string_view message) override {
-    reply_.memo(static_cast<std::uint16_t>(peer.value_or(PeerId{65535})), message);
+  void handle(const RefreshEndpointList&) override { reply_.record(ActionCode::lookup); }
+  void handle(const RequestHealthCheck& action) override {
+    reply_.record(ActionCode::ask_load, action.replica);
   }
-  void log(std::string_view line) override { reply_.record_text(ActionCode::print, line); }
+  void handle(const SendToPeer& action) override {
+    reply_.memo(static_cast<std::uint16_t>(action.peer.value_or(PeerId{65535})), action.message);
+  }
+  void handle(const LogLine& action) override { reply_.record_text(ActionCode::print, action.text); }
 
  private:
   simulator::ReplyFrame& reply_;
--- a/tests/policy/control_channel_test.cpp
+++ b/tests/policy/control_channel_test.cpp
@@ -1,94 +1,113 @@
-// The channel's limit while the channel runs at a fraction of its stated pace, beside a plain model of it:
-// messages leave one after the other, and proxies answer the marks that they carry.
+#include "policy/control_channel.h"
+
 #include <gtest/gtest.h>
 
+#include "policy/recording_sink.h"
 #include "support.h"
 
-namespace ospreypost::test {
+namespace ospreypost::policy {
 namespace {
 
-Settings fleet_settings() {
-  auto settings = small_settings();
-  settings.proxies = 60;
-  settings.zones = 1;
-  settings.max_messages_per_window = 0;
+using test::RecordingSink;
+using test::small_settings;
+using namespace std::chrono_literals;
+
+Settings channel_settings() {
+  Settings settings = small_settings();
   settings.channel_entries_per_second = 1000;
   settings.channel_max_queued_entries = 2000;
   return settings;
 }
 
-struct ChannelScene {
-  // `pace`: of the stated lines a second.
-  explicit ChannelScene(double pace)
-      : host(settings.message_overhead_entries, pace * settings.channel_entries_per_second),
-        governor(settings, 7, host.now, host) {
-    std::vector<EndpointUpdate> entries;
-    for (std::uint32_t id = 0; id < kReplicas; ++id) entries.push_back(entry(id));
-    governor.on_endpoint_list(host.now, EndpointListKind::cached, entries);
-    host.take();
-    for (std::uint16_t p = 0; p < 60; ++p) {
-      governor.on_proxy_joined(host.now, ProxyId{p}, ZoneId{0}, 20, true);
-      host.take();
-    }
-  }
-  // Reports that move the weights, then a second.
-  void second(unsigned turn) {
-    for (std::uint32_t id = 0; id < kReplicas; ++id) {
-      ReplicaLoadReport sum;
-      sum.replica = ReplicaId{id};
-      sum.attempts = 20;
-      sum.mean_latency = 100ms;
-      sum.span = 1s;
-      sum.load = {(id + turn) % 5 < 2 ? 0.8F : 0.1F};
-      governor.on_replica_load_report(host.now, sum);
-      host.take();
-    }
-    host.pass(governor, 1s);
-  }
+TEST(ControlChannelTest, BeforeAnyAcknowledgementItDrainsAtHalfItsPace) {
+  ControlChannel channel(channel_settings());
+  channel.queued_entries(100s);
+  channel.add(1000, 10);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 500);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(110s), 0);
+}
+
+TEST(ControlChannelTest, AnAcknowledgementShowsThatAllBeforeItLeft) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(1000, 1);
+  channel.request_acknowledgement(100s, sink);
+  ASSERT_EQ(sink.requests.size(), 1U);
+  channel.on_acknowledged(100s, sink.requests[0]);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
+}
+
+TEST(ControlChannelTest, EachOfTheMessagesConfirmsItsPart) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(1000, 4);
+  channel.request_acknowledgement(100s, sink);
+  channel.on_acknowledged(100s, sink.requests.at(0));
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 750);
+}
 
-  static constexpr std::uint32_t kReplicas = 30;
-  const Settings settings = fleet_settings();
-  ChannelHost host;
-  Controller governor;
-};
+TEST(ControlChannelTest, OnceAcknowledgementsComeWhatIsUnconfirmedLeavesSlowly) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(100, 1);
+  channel.request_acknowledgement(100s, sink);
+  channel.on_acknowledged(100s, sink.requests.at(0));
+  channel.add(1000, 1);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 950);
+}
+
+TEST(ControlChannelTest, RequestsAcknowledgementsOnlyWhenEnoughMayWait) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(100, 1);
+  channel.request_acknowledgement(100s, sink);
+  channel.on_acknowledged(100s, sink.requests.at(0));
+  const Nanos later = 100s + 1ms;
+  channel.add(500, 1);
+  channel.request_acknowledgement(later, sink);
+  EXPECT_EQ(sink.requests.size(), 1U) << "a quarter of the limit is 500";
+  channel.add(2, 1);
+  channel.request_acknowledgement(later, sink);
+  EXPECT_EQ(sink.requests.size(), 2U);
+  channel.request_acknowledgement(later + 1ms, sink);
+  EXPECT_EQ(sink.requests.size(), 2U) << "nothing was sent since";
+}
 
-// Found on the fleet's split, roll and join days of seed 6: at a sixth of its pace the channel held 20,299
-// lines of 20,200, while it was believed to run at half.
-TEST(SlowChannel, NeverHoldsMoreThanItsLimit) {
-  for (const double pace : {1.0, 0.3, 0.15, 0.1}) {
-    ChannelScene scene(pace);
-    for (unsigned s = 0; s < 60; ++s) scene.second(s);
-    EXPECT_LE(scene.host.most_waiting, scene.settings.channel_max_queued_entries)
-        << "at " << pace << " of its pace";
-    EXPECT_EQ(scene.host.bindings.size(), 60u) << "and every proxy has its tables";
-  }
+TEST(ControlChannelTest, CallsOfOneMomentShareARequest) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(600, 1);
+  channel.request_acknowledgement(100s, sink);
+  channel.add(600, 1);
+  channel.request_acknowledgement(100s, sink);
+  ASSERT_EQ(sink.requests.size(), 1U);
+  channel.on_acknowledged(100s, sink.requests[0]);
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 600) << "one answer of two";
 }
 
-TEST(SlowChannel, DrainsGoOutAsItEmpties) {
-  ChannelScene scene(0.15);
-  for (unsigned s = 0; s < 20; ++s) scene.second(s);
-  for (std::uint32_t id = 0; id < 5; ++id)
-    scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes,
-                                    {entry(id, 0, EndpointPhase::draining)});
-  scene.host.take();
-  for (unsigned s = 0; s < 10; ++s) scene.second(s);
-  EXPECT_EQ(scene.host.withdrawn.size(), 5u);
-  EXPECT_LE(scene.host.most_waiting, scene.settings.channel_max_queued_entries);
+TEST(ControlChannelTest, AnUnknownOrOlderRequestConfirmsNothing) {
+  ControlChannel channel(channel_settings());
+  RecordingSink sink;
+  channel.queued_entries(100s);
+  channel.add(1000, 1);
+  channel.request_acknowledgement(100s, sink);
+  channel.on_acknowledged(100s, AckRequestId{77});
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
 }
 
-// Behind some fronts nobody answers: half the stated pace is counted on there.
-TEST(SlowChannel, WhereNobodyAnswersOrdersGoOnAtHalfTheStatedPace) {
-  ChannelScene scene(0.5);
-  scene.host.answers = false;
-  for (unsigned s = 0; s < 30; ++s) scene.second(s);
-  EXPECT_EQ(scene.host.bindings.size(), 60u);
-  scene.governor.on_endpoint_list(scene.host.now, EndpointListKind::changes,
-                                  {entry(3, 0, EndpointPhase::draining)});
-  scene.host.take();
-  scene.second(30);
-  EXPECT_EQ(scene.host.withdrawn.size(), 1u);
-  EXPECT_LE(scene.host.most_waiting, scene.settings.channel_max_queued_entries);
+TEST(ControlChannelTest, WithItsLastProxyAllThatWaitsIsLost) {
+  ControlChannel channel(channel_settings());
+  channel.queued_entries(100s);
+  channel.add(1000, 1);
+  channel.on_all_proxies_left();
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
 }
 
 }  // namespace
-}  // namespace ospreypost::test
+}  // namespace ospreypost::policy
--- /dev/null
+++ b/tests/policy/fleet_fixture.h
@@ -0,0 +1,49 @@
+/// A small fleet for the tests of the parts that look at all replicas.
+#pragma once
+
+#include "policy/fleet_statistics.h"
+#include "policy/recording_sink.h"
+#include "support.h"
+
+namespace ospreypost::test {
+
+/// Replicas with outcomes, and the parts that those who judge them need.
+struct Fleet {
+  explicit Fleet(const Settings& fleet_settings = small_settings())
+      : settings(fleet_settings),
+        clock(std::chrono::seconds(100), std::chrono::milliseconds(500)),
+        classes(settings),
+        load_signal(settings),
+        slow_start(settings) {}
+
+  /// A ready replica with attempts, some of them failed, and a utilization.
+  policy::Replica& add(std::uint32_t id, double attempts, double failed, float utilization = 0.5F) {
+    auto& replica = replicas[ReplicaId{id}];
+    replica.endpoint.phase = EndpointPhase::ready;
+    replica.endpoint.zone = id % settings.zones;
+    add_outcomes(replica, attempts, failed);
+    load_signal.record(replica, {utilization}, clock);
+    return replica;
+  }
+  void add_outcomes(policy::Replica& replica, double attempts, double failed) const {
+    replica.outcomes.attempts.add(clock.evidence_time(), attempts);
+    replica.outcomes.failed.add(clock.evidence_time(), failed);
+    replica.outcomes.successes += attempts - failed;
+  }
+  policy::FleetStatistics statistics() const {
+    return statistics_after(policy::FleetStatistics(settings.zones));
+  }
+  policy::FleetStatistics statistics_after(const policy::FleetStatistics& previous) const {
+    return collect_fleet_statistics({replicas, slow_start, load_signal, classes, clock}, previous);
+  }
+
+  Settings settings;
+  policy::EvidenceClock clock;
+  policy::RequestClasses classes;
+  policy::LoadSignal load_signal;
+  policy::SlowStart slow_start;
+  policy::ReplicaMap replicas;
+  RecordingSink sink;
+};
+
+}  // namespace ospreypost::test
--- /dev/null
+++ b/tests/policy/table_publisher_test.cpp
@@ -0,0 +1,203 @@
+#include "policy/table_publisher.h"
+
+#include <gtest/gtest.h>
+
+#include "policy/fleet_fixture.h"
+
+namespace ospreypost::policy {
+namespace {
+
+using test::Fleet;
+using test::small_settings;
+using namespace std::chrono_literals;
+
+Settings publisher_settings(double max_queued_entries = 10000) {
+  Settings settings = small_settings();
+  settings.zones = 1;
+  settings.channel_max_queued_entries = max_queued_entries;
+  return settings;
+}
+
+/// Four replicas of one zone, one subset, one proxy.
+struct PublishedFleet : Fleet {
+  explicit PublishedFleet(const Settings& fleet_settings = publisher_settings())
+      : Fleet(fleet_settings),
+        assignment(settings, classes),
+        channel(settings),
+        publisher(settings, channel, sink),
+        wanted{TableSet(1, 1), {1, 1}, RetryMode::after_rejection_proof} {
+    for (std::uint32_t id = 0; id < 4; ++id) {
+      add(id, 10, 0);
+      wanted.tables.at(0, 0)[ReplicaId{id}] = 1;
+    }
+    assignment.lay_out(replicas, {1e6, 5});
+    publisher.set_table_count(1, 1);
+    assignment.add_proxy(ProxyId{1}, 0, 10, 0s);
+    publish();
+    assignment.assign(ProxyId{1}, 0, 0s);
+  }
+  void publish() {
+    sink = {};
+    publisher.publish(wanted, replicas, slow_start, assignment, clock.now());
+  }
+  void publish_after(Nanos span) {
+    clock.advance(clock.now() + span);
+    publish();
+  }
+  Replica& replica(std::uint32_t id) { return replicas.at(ReplicaId{id}); }
+  SubsetAssignment assignment;
+  ControlChannel channel;
+  TablePublisher publisher;
+  WantedState wanted;
+};
+
+TEST(TablePublisherTest, SendsOnlyWhatDiffers) {
+  PublishedFleet fleet;
+  fleet.publish_after(10s);
+  EXPECT_TRUE(fleet.sink.entries.empty());
+  fleet.wanted.tables.at(0, 0)[ReplicaId{2}] = 1.2;
+  fleet.wanted.tables.at(0, 0)[ReplicaId{3}] = 1.05;
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.entries.size(), 1U) << "a change of a twentieth is not worth an entry";
+  EXPECT_EQ(fleet.sink.entries[0].replica, ReplicaId{2});
+  EXPECT_EQ(fleet.sink.entries[0].weight, 1.2);
+}
+
+TEST(TablePublisherTest, WhatDrainsLeavesItsTablesAndIsEjected) {
+  PublishedFleet fleet;
+  fleet.replica(1).endpoint.phase = EndpointPhase::draining;
+  fleet.wanted.tables.at(0, 0).erase(ReplicaId{1});
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.entries.size(), 1U);
+  EXPECT_EQ(fleet.sink.entries[0].weight, 0);
+  ASSERT_EQ(fleet.sink.ejections.size(), 1U);
+  EXPECT_TRUE(fleet.sink.ejections[0].ejected);
+  EXPECT_TRUE(fleet.publisher.holders_of(ReplicaId{1}).empty());
+}
+
+TEST(TablePublisherTest, WhatTrippedKeepsItsEntryForItsReturn) {
+  PublishedFleet fleet;
+  fleet.replica(1).breaker.trip(fleet.clock.now());
+  fleet.wanted.tables.at(0, 0).erase(ReplicaId{1});
+  fleet.publish_after(10s);
+  EXPECT_TRUE(fleet.sink.entries.empty());
+  EXPECT_EQ(fleet.sink.ejections.size(), 1U);
+  EXPECT_EQ(fleet.publisher.holders_of(ReplicaId{1}).size(), 1U);
+}
+
+TEST(TablePublisherTest, ReadmitsOnlyAfterTheNewEntryWasSent) {
+  PublishedFleet fleet;
+  fleet.replica(1).breaker.trip(fleet.clock.now());
+  fleet.publish_after(10s);
+  fleet.replica(1).breaker.half_open(fleet.clock.now());
+  fleet.wanted.tables.at(0, 0)[ReplicaId{1}] = kFloor;
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.entries.size(), 1U);
+  ASSERT_EQ(fleet.sink.ejections.size(), 1U);
+  EXPECT_FALSE(fleet.sink.ejections[0].ejected);
+  EXPECT_FALSE(fleet.replica(1).ejected);
+}
+
+TEST(TablePublisherTest, AnEjectionThatDoesNotFitIsTriedAgain) {
+  PublishedFleet fleet(publisher_settings(20));
+  fleet.channel.add(1000, 1);
+  fleet.replica(1).endpoint.phase = EndpointPhase::draining;
+  fleet.publish();
+  EXPECT_TRUE(fleet.sink.ejections.empty());
+  EXPECT_TRUE(fleet.publisher.is_urgent());
+  EXPECT_FALSE(fleet.replica(1).ejected);
+  fleet.publish_after(60s);
+  EXPECT_EQ(fleet.sink.ejections.size(), 1U);
+  EXPECT_FALSE(fleet.publisher.is_urgent());
+}
+
+TEST(TablePublisherTest, LeavesAMessageGapToEachSubset) {
+  PublishedFleet fleet;
+  fleet.wanted.tables.at(0, 0)[ReplicaId{2}] = 2;
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.entries.size(), 1U);
+  fleet.wanted.tables.at(0, 0)[ReplicaId{2}] = 3;
+  fleet.publish_after(500ms);
+  EXPECT_TRUE(fleet.sink.entries.empty()) << "14 messages in 10 s, less 3";
+  fleet.publish_after(500ms);
+  EXPECT_EQ(fleet.sink.entries.size(), 1U);
+}
+
+TEST(TablePublisherTest, AnEmptyTableIsNeverPublished) {
+  PublishedFleet fleet;
+  fleet.wanted.tables.at(0, 0).clear();
+  fleet.publish_after(10s);
+  EXPECT_TRUE(fleet.sink.entries.empty());
+  EXPECT_EQ(fleet.publisher.holders_of(ReplicaId{0}).size(), 1U);
+}
+
+TEST(TablePublisherTest, AdmittedFractionsAreSentWhenTheyDifferEnough) {
+  PublishedFleet fleet;
+  fleet.wanted.admitted_fractions = {0.95, 0.5};
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.fractions.size(), 1U);
+  EXPECT_EQ(fleet.sink.fractions[0].classes, 0b10);
+  fleet.wanted.admitted_fractions = {1, 1};
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.fractions.size(), 1U);
+  EXPECT_EQ(fleet.sink.fractions[0].fraction, 1);
+}
+
+TEST(TablePublisherTest, ARetryModeIsSentForAllClasses) {
+  PublishedFleet fleet;
+  fleet.wanted.retry_mode = RetryMode::none;
+  fleet.publish_after(10s);
+  ASSERT_EQ(fleet.sink.fractions.size(), 2U);
+  for (const auto& fraction : fleet.sink.fractions) EXPECT_EQ(fraction.retry, RetryMode::none);
+  fleet.publish_after(10s);
+  EXPECT_TRUE(fleet.sink.fractions.empty());
+}
+
+TEST(TablePublisherTest, BindsOnlyWithinTheChannelsLimit) {
+  PublishedFleet fleet(publisher_settings(20));
+  const auto& groups = fleet.classes.groups();
+  fleet.channel.queued_entries(fleet.clock.now() + 100s);
+  const Nanos now = fleet.clock.now() + 100s;
+  // The overhead of 6, and a table of 4 with its binding and two classes' fractions: 13.
+  EXPECT_FALSE(fleet.publisher.bind(ProxyId{2}, 0, groups, fleet.replicas, kPlainQueueFraction, now));
+  EXPECT_TRUE(fleet.publisher.bind(ProxyId{2}, 0, groups, fleet.replicas, kJoiningQueueFraction, now));
+  ASSERT_EQ(fleet.sink.bindings.size(), 1U);
+  EXPECT_EQ(fleet.sink.bindings[0].classes, 0b11);
+  EXPECT_FALSE(fleet.publisher.bind(ProxyId{3}, 0, groups, fleet.replicas, kJoiningQueueFraction, now));
+}
+
+TEST(MessageBatchTest, ReservesAllOrNothing) {
+  PublishedFleet fleet;
+  const std::vector<Nanos> last_messages{Nanos{}};
+  MessageBatch batch(fleet.channel, fleet.assignment, {last_messages, 1s}, 6, fleet.clock.now());
+  const double capacity = batch.capacity();
+  EXPECT_FALSE(batch.try_reserve({0}, capacity, MessageBatch::Unassigned::excluded));
+  EXPECT_EQ(batch.capacity(), capacity);
+  EXPECT_TRUE(batch.try_reserve({0}, 10, MessageBatch::Unassigned::excluded));
+  EXPECT_EQ(batch.capacity(), capacity - 16);
+  EXPECT_TRUE(batch.try_reserve({0}, 10, MessageBatch::Unassigned::excluded));
+  EXPECT_EQ(batch.capacity(), capacity - 26) << "the overhead is paid once a message";
+}
+
+TEST(MessageBatchTest, AHeldBackSubsetTakesNothingMore) {
+  PublishedFleet fleet;
+  const std::vector<Nanos> last_messages{Nanos{}};
+  MessageBatch batch(fleet.channel, fleet.assignment, {last_messages, 1s}, 6, fleet.clock.now());
+  batch.hold_back(0);
+  EXPECT_FALSE(batch.try_reserve({0}, 1, MessageBatch::Unassigned::excluded));
+  batch.release(0);
+  EXPECT_TRUE(batch.try_reserve({0}, 1, MessageBatch::Unassigned::excluded));
+}
+
+TEST(MessageBatchTest, ProxiesWithoutASubsetAreCountedWhereTheyAreMeant) {
+  PublishedFleet fleet;
+  fleet.assignment.add_proxy(ProxyId{2}, 0, 10, 0s);
+  const std::vector<Nanos> last_messages{Nanos{}};
+  MessageBatch batch(fleet.channel, fleet.assignment, {last_messages, 1s}, 6, fleet.clock.now());
+  const double capacity = batch.capacity();
+  EXPECT_TRUE(batch.try_reserve({}, 1, MessageBatch::Unassigned::included));
+  EXPECT_EQ(batch.capacity(), capacity - 7);
+}
+
+}  // namespace
+}  // namespace ospreypost::policy
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -35,7 +35,7 @@
 void live(const std::string& folder, Nanos begun, const std::vector<std::string>& names, int reports = 8) {
   const auto config = config::parse_config(test::small_config_text(), "small");
   Writer writer({folder, 1U << 30, 2000});
-  test::DeafHost host;
+  test::IgnoringHandler host;
   RecordingController tap(config::module_settings(config), config.seed, begun, host, &writer, config.text);
   std::vector<EndpointUpdate> list;
   for (std::uint32_t n = 0; n < names.size(); ++n) {
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -129,9 +129,10 @@
 
 // --- Replay
 
-class Nobody : public test::DeafHost {
+class Nobody : public test::IgnoringHandler {
  public:
-  void start_timer(Nanos, TimerId timer) override { armed.push_back(timer); }
+  using ActionHandler::handle;
+  void handle(const StartTimer& action) override { armed.push_back(action.timer); }
   std::vector<TimerId> armed;
 };
 
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -58,21 +58,7 @@
   std::filesystem::path path;
 };
 
-// Drops every order.
-class DeafHost : public ActionSink {
- public:
-  void set_table_entry(TableId, ReplicaId, double) override {}
-  void clear_table(TableId) override {}
-  void bind(ProxyId, TableId, ClassMask) override {}
-  void set_ejected(ReplicaId, bool) override {}
-  void set_admitted_fraction(TableId, ClassMask, double, RetryMode) override {}
-  void request_acknowledgement(AckRequestId, bool) override {}
-  void start_timer(Nanos, TimerId) override {}
-  void watch_endpoint_list(bool) override {}
-  void refresh_endpoint_list() override {}
-  void request_health_check(ReplicaId) override {}
-  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
-  void log(std::string_view) override {}
-};
+// Drops every action.
+class IgnoringHandler : public ActionHandler {};
 
 }  // namespace ospreypost::test
--- a/tests/support.h
+++ b/tests/support.h
@@ -56,35 +56,45 @@
 }
 
 // Keeps what the proxies would hold, and counts what the channel would carry.
-class BookHost : public ActionSink {
+class BookHost : public ActionHandler {
  public:
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
-    repeated += weight > 0 && tables[table].contains(replica) && tables[table][replica] == weight;
-    weight > 0 ? void(tables[table][replica] = weight) : void(tables[table].erase(replica));
+  using ActionHandler::handle;
+  void handle(const SetTableEntry& action) override {
+    auto& table = tables[action.table];
+    if (action.weight > 0) {
+      if (table.contains(action.replica) && table[action.replica] == action.weight) ++repeated;
+      table[action.replica] = action.weight;
+    } else {
+      table.erase(action.replica);
+    }
+    ordered = true;
+  }
+  void handle(const ClearTable& action) override {
+    tables[action.table].clear();
     ordered = true;
   }
-  void clear_table(TableId table) override { tables[table].clear(), ordered = true; }
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override {
-    for (unsigned k = 0; k < 16; ++k) {
-      if (classes == 0 || (classes >> k & 1u)) bound[{proxy, k}] = table;
+  void handle(const BindProxy& action) override {
+    for (unsigned cls = 0; cls < 16; ++cls) {
+      if (action.classes == 0 || (action.classes >> cls & 1U)) bound[{action.proxy, cls}] = action.table;
     }
-    bindings.insert(proxy);
+    bindings.insert(action.proxy);
   }
-  void set_ejected(ReplicaId replica, bool out) override {
-    out ? void(withdrawn.insert(replica)) : void(withdrawn.erase(replica));
+  void handle(const SetEjected& action) override {
+    if (action.ejected) {
+      withdrawn.insert(action.replica);
+    } else {
+      withdrawn.erase(action.replica);
+    }
     ordered = true;
   }
-  void set_admitted_fraction(TableId, ClassMask classes, double level, RetryMode retry) override {
-    levels.push_back({classes, level, retry});
+  void handle(const SetAdmittedFraction& action) override {
+    levels.push_back({action.classes, action.fraction, action.retry});
     ordered = true;
   }
-  void request_acknowledgement(AckRequestId, bool) override {}
-  void start_timer(Nanos from_now, TimerId timer) override { timers.insert({now + from_now, timer}); }
-  void watch_endpoint_list(bool) override { ++watches; }
-  void refresh_endpoint_list() override {}
-  void request_health_check(ReplicaId replica) override { probes.push_back(replica); }
-  void send_to_peer(std::optional<PeerId>, std::string_view) override {}
-  void log(std::string_view line) override { logged.emplace_back(line); }
+  void handle(const StartTimer& action) override { timers.insert({now + action.delay, action.timer}); }
+  void handle(const WatchEndpointList&) override { ++watches; }
+  void handle(const RequestHealthCheck& action) override { probes.push_back(action.replica); }
+  void handle(const LogLine& action) override { logged.emplace_back(action.text); }
 
   struct Level {
     ClassMask classes;
@@ -137,27 +147,28 @@
 class ChannelHost : public BookHost {
  public:
   ChannelHost(double head, double lines_a_second) : head_(head), lines_a_step_(lines_a_second * kSeconds) {}
-  void set_table_entry(TableId table, ReplicaId replica, double weight) override {
-    BookHost::set_table_entry(table, replica, weight);
+  using BookHost::handle;
+  void handle(const SetTableEntry& action) override {
+    BookHost::handle(action);
     for (const auto& [at, bound_to] : bound) {
-      if (at.second == 0 && bound_to == table) ++lines_[at.first];
+      if (at.second == 0 && bound_to == action.table) ++lines_[at.first];
     }
   }
-  void bind(ProxyId proxy, TableId table, ClassMask classes) override {
-    BookHost::bind(proxy, table, classes);
-    lines_[proxy] += 1 + static_cast<double>(tables[table].size());
+  void handle(const BindProxy& action) override {
+    BookHost::handle(action);
+    lines_[action.proxy] += 1 + static_cast<double>(tables[action.table].size());
   }
-  void set_ejected(ReplicaId replica, bool out) override {
-    BookHost::set_ejected(replica, out);
+  void handle(const SetEjected& action) override {
+    BookHost::handle(action);
     for (const auto& [at, table] : bound) {
-      if (at.second == 0 && tables[table].contains(replica)) ++lines_[at.first];
+      if (at.second == 0 && tables[table].contains(action.replica)) ++lines_[at.first];
     }
   }
-  void set_admitted_fraction(TableId table, ClassMask classes, double level, RetryMode retry) override {
-    BookHost::set_admitted_fraction(table, classes, level, retry);
+  void handle(const SetAdmittedFraction& action) override {
+    BookHost::handle(action);
     for (const auto proxy : bindings) ++lines_[proxy];
   }
-  void request_acknowledgement(AckRequestId mark, bool) override { marks_.push_back(mark); }
+  void handle(const RequestAcknowledgement& action) override { marks_.push_back(action.request); }
 
   // After each call.
   void take() {
