--- a/fuzz/discovery_update.cpp
+++ b/fuzz/discovery_update.cpp
@@ -11,13 +11,13 @@
     const auto end = text.find('\n');
     try {
       const auto roster = discovery::parse_endpoint_list_update(text.substr(0, end));
-      const auto taken = places.take(roster);
-      if (taken.entries.size() + taken.refused > roster.members.size()) std::abort();
+      const auto taken = places.apply(roster);
+      if (taken.updates.size() + taken.rejected > roster.members.size()) std::abort();
     } catch (const net::Error&) {
     }
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
   }
-  for (const auto id : places.gone()) places.let_go(id);
-  if (!places.gone().empty()) std::abort();
+  for (const auto id : places.gone_replicas()) places.release(id);
+  if (!places.gone_replicas().empty()) std::abort();
   return 0;
 }
--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -32,30 +32,30 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
   platform::MessageNames known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
-  known.replica_of = [](std::string_view name) {
+  known.find_replica = [](std::string_view name) {
     return name == "s-1" ? std::optional(ReplicaId{7}) : std::nullopt;
   };
   if (size == 0) return 0;
   const auto from = static_cast<platform::PeerRole>(data[0] % 3);
   const std::size_t piece = 1 + data[0] / 3;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  resp::Reader reader({4096, 32});
+  resp::MessageReader reader({4096, 32});
   Deaf deaf;
   try {
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
-      reader.put(bytes.substr(at, piece));
+      reader.append(bytes.substr(at, piece));
       while (const auto words = reader.next()) {
         try {
           platform::parse_message(*words, known, from, ProxyId{3}, deaf);
         } catch (const platform::MessageError&) {
         }
       }
-      if (reader.held() > 4096 + piece + 32) std::abort();
+      if (reader.buffered_bytes() > 4096 + piece + 32) std::abort();
     }
   } catch (const resp::ProtocolError&) {
   }
   try {
-    platform::read_report(bytes, known.load_columns);
+    platform::parse_load_report(bytes, known.load_columns);
   } catch (const platform::MessageError&) {
   }
   return 0;
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -25,14 +25,14 @@
   if (!path) throw config::ConfigError("ROUTER_CONFIG is not set: it names the platform's configuration");
   const auto environment = ospreypost::platform::read_platform_config(path);
   const auto log = make_logger(config::Logging{}, environment.name);
-  ospreypost::platform::Service service(environment, log);
+  ospreypost::platform::PlatformServer service(environment, log);
   log->info("serving at {}", service.address().text());
   for (;;) {
     int signal = 0;
     sigwait(&heeded, &signal);
     if (signal != SIGHUP) break;
     try {
-      service.renew(ospreypost::platform::read_platform_config(path));
+      service.reload(ospreypost::platform::read_platform_config(path));
     } catch (const std::exception& error) {
       log->error("the new configuration changes nothing: {}", error.what());
     }
--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -20,7 +20,8 @@
   if (known == ids_.end()) ids_.emplace(member.name, id);
   auto& place = places_[id];
   place.name = member.name;
-  if (member.phase != EndpointPhase::ready && place.phase == EndpointPhase::ready) taken.out.push_back(id);
+  if (member.phase != EndpointPhase::ready && place.phase == EndpointPhase::ready)
+    taken.no_longer_ready.push_back(id);
   place.phase = member.phase;
   EndpointUpdate entry;
   entry.replica = id;
@@ -35,7 +36,7 @@
   return entry;
 }
 
-EndpointRegistry::Changes EndpointRegistry::take(const discovery::EndpointListUpdate& roster) {
+EndpointRegistry::Changes EndpointRegistry::apply(const discovery::EndpointListUpdate& roster) {
   Changes taken;
   std::set<std::string_view> named(roster.unreadable.begin(), roster.unreadable.end());
   for (const auto& member : roster.members) {
@@ -44,34 +45,35 @@
     // Nobody needs to hear that a stranger is gone.
     if (gone && !ids_.contains(member.name)) continue;
     if (!gone && (!position(zones_, member.zone) || !position(kinds_, member.kind))) {
-      ++taken.refused;
+      ++taken.rejected;
       continue;
     }
-    taken.entries.push_back(entry_of(member, taken));
+    taken.updates.push_back(entry_of(member, taken));
   }
   if (!roster.complete) return taken;
-  taken.as_changes = taken.refused + roster.refused > 0;
+  taken.must_apply_as_changes = taken.rejected + roster.refused > 0;
   for (auto& [id, place] : places_) {
     if (named.contains(place.name) || place.phase == EndpointPhase::gone) continue;
-    if (place.phase == EndpointPhase::ready) taken.out.push_back(id);
+    if (place.phase == EndpointPhase::ready) taken.no_longer_ready.push_back(id);
     place.phase = EndpointPhase::gone;
-    if (taken.as_changes) taken.entries.push_back({id, {}, {}, {}, EndpointPhase::gone, 1, std::nullopt});
+    if (taken.must_apply_as_changes)
+      taken.updates.push_back({id, {}, {}, {}, EndpointPhase::gone, 1, std::nullopt});
   }
   return taken;
 }
 
-std::optional<ReplicaId> EndpointRegistry::find(std::string_view name) const {
+std::optional<ReplicaId> EndpointRegistry::find_id(std::string_view name) const {
   const auto known = ids_.find(name);
   if (known == ids_.end()) return std::nullopt;
   return known->second;
 }
 
-const RegisteredEndpoint* EndpointRegistry::place(ReplicaId id) const {
+const RegisteredEndpoint* EndpointRegistry::find_endpoint(ReplicaId id) const {
   const auto known = places_.find(id);
   return known == places_.end() ? nullptr : &known->second;
 }
 
-std::vector<ReplicaId> EndpointRegistry::gone() const {
+std::vector<ReplicaId> EndpointRegistry::gone_replicas() const {
   std::vector<ReplicaId> found;
   for (const auto& [id, place] : places_) {
     if (place.phase == EndpointPhase::gone) found.push_back(id);
@@ -79,7 +81,7 @@
   return found;
 }
 
-void EndpointRegistry::let_go(ReplicaId id) {
+void EndpointRegistry::release(ReplicaId id) {
   const auto known = places_.find(id);
   if (known == places_.end()) return;
   ids_.erase(known->second.name);
--- a/src/platform/endpoint_registry.h
+++ b/src/platform/endpoint_registry.h
@@ -29,21 +29,21 @@
       : zones_(std::move(zones)), kinds_(std::move(kinds)), offset_(offset) {}
 
   struct Changes {
-    std::vector<EndpointUpdate> entries;
-    std::vector<ReplicaId> out;  // known ones that are now neither ready nor were out before
-    std::size_t refused = 0;     // entries of zones or kinds that the settings don't have
+    std::vector<EndpointUpdate> updates;
+    std::vector<ReplicaId> no_longer_ready;  // known ones that are now neither ready nor were out before
+    std::size_t rejected = 0;                // entries of zones or kinds that the settings don't have
     // Whether a whole list is told as the changes that it comes to: an entry that cannot be read says nothing
     // of its replica, not that it is gone.
-    bool as_changes = false;
+    bool must_apply_as_changes = false;
   };
-  Changes take(const discovery::EndpointListUpdate& roster);
+  Changes apply(const discovery::EndpointListUpdate& roster);
 
-  std::optional<ReplicaId> find(std::string_view name) const;
+  std::optional<ReplicaId> find_id(std::string_view name) const;
   // Null if it was let go or never given.
-  const RegisteredEndpoint* place(ReplicaId id) const;
+  const RegisteredEndpoint* find_endpoint(ReplicaId id) const;
   // Those that are gone.
-  std::vector<ReplicaId> gone() const;
-  void let_go(ReplicaId id);
+  std::vector<ReplicaId> gone_replicas() const;
+  void release(ReplicaId id);
   std::size_t size() const { return places_.size(); }
 
  private:
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -84,7 +84,7 @@
 ReplicaLoadReport read_sum(const Fields& fields, const MessageNames& vocabulary) {
   ReplicaLoadReport sum;
   sum.zone = zone_of(fields, vocabulary);
-  const auto replica = vocabulary.replica_of(fields.text("target"));
+  const auto replica = vocabulary.find_replica(fields.text("target"));
   if (!replica) refuse("target", "is unknown");
   sum.replica = *replica;
   sum.attempts = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
@@ -94,7 +94,8 @@
   if (sum.failed < sum.attempts || fields.find("mean")) sum.mean_latency = time("mean", fields.text("mean"));
   sum.span = time("over", fields.text("over"));
   if (sum.span <= Nanos{}) refuse("over", "is no span");
-  if (const auto load = fields.find("util")) sum.load = read_columns(*load, ':', vocabulary.load_columns);
+  if (const auto load = fields.find("util"))
+    sum.load = parse_load_columns(*load, ':', vocabulary.load_columns);
   return sum;
 }
 
@@ -111,8 +112,8 @@
 
 }  // namespace
 
-std::vector<float> read_columns(std::string_view text, char between,
-                                const std::vector<std::string>& columns) {
+std::vector<float> parse_load_columns(std::string_view text, char between,
+                                      const std::vector<std::string>& columns) {
   std::vector<std::optional<float>> found(columns.size());
   while (!text.empty()) {
     const auto comma = text.find(',');
@@ -135,10 +136,10 @@
   return load;
 }
 
-std::vector<float> read_report(std::string_view body, const std::vector<std::string>& columns) {
+std::vector<float> parse_load_report(std::string_view body, const std::vector<std::string>& columns) {
   constexpr std::string_view form = "TEXT ";
   if (!body.starts_with(form)) return {};
-  return read_columns(body.substr(form.size()), '=', columns);
+  return parse_load_columns(body.substr(form.size()), '=', columns);
 }
 
 void parse_message(const std::vector<std::string_view>& words, const MessageNames& vocabulary, PeerRole from,
@@ -159,7 +160,7 @@
     if (from == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
     return told.on_collector_hello(zone_of(fields, vocabulary));
   }
-  if (from == PeerRole::stranger)
+  if (from == PeerRole::unidentified)
     throw MessageError("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
   if (kind == "outcomes") return told.on_replica_load_report(read_sum(fields, vocabulary));
   if (kind == "demand") {
--- a/src/platform/messages.h
+++ b/src/platform/messages.h
@@ -21,7 +21,7 @@
 };
 
 // Whoever is at the other end of a connection.
-enum class PeerRole { stranger, collector, proxy };
+enum class PeerRole { unidentified, collector, proxy };
 
 // What a message may tell.
 class MessageHandler {
@@ -39,7 +39,7 @@
 struct MessageNames {
   std::vector<std::string> classes, zones, load_columns;  // in the order of the settings
   std::size_t proxies = 0;
-  std::function<std::optional<ReplicaId>(std::string_view)> replica_of;
+  std::function<std::optional<ReplicaId>(std::string_view)> find_replica;
 };
 
 // `from`: who sent it, and `proxy` which, if it is one. Throws Spoilt, and then nothing was told.
@@ -47,8 +47,9 @@
                    std::optional<ProxyId> proxy, MessageHandler& told);
 
 // "inflight=7, queue=2, util=0.61" with '=' or ':' between, in the order of `columns`. Throws Spoilt.
-std::vector<float> read_columns(std::string_view text, char between, const std::vector<std::string>& columns);
+std::vector<float> parse_load_columns(std::string_view text, char between,
+                                      const std::vector<std::string>& columns);
 // The body of a replica's load report; empty if it has none.
-std::vector<float> read_report(std::string_view body, const std::vector<std::string>& columns);
+std::vector<float> parse_load_report(std::string_view body, const std::vector<std::string>& columns);
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -110,7 +110,7 @@
   const Fields limits(fields.at("limits"), where + ": limits");
   if (!limits.at("sockets").is_number_unsigned() || limits.at("sockets").get<std::size_t>() < 64)
     limits.fail("sockets", "is no number of at least 64");
-  read.sockets = limits.at("sockets").get<std::size_t>();
+  read.max_descriptors = limits.at("sockets").get<std::size_t>();
   if (fields.has("peer_listen") && fields.has("peers")) {
     read.peer_listen = fields.address("peer_listen");
     for (const auto& peer : names_of(fields, fields.at("peers"), "peers")) {
@@ -120,7 +120,7 @@
         fields.fail("peers", error.what());
       }
     }
-    if (fields.has("peers_all")) read.peers_all = fields.address("peers_all");
+    if (fields.has("peers_all")) read.all_peers = fields.address("peers_all");
   }
   const auto& nested = fields.at("settings");
   const Fields settings(nested, where + ": settings");
@@ -128,11 +128,11 @@
   try {
     flatten(nested, "", lines);
     read.settings = simulator::parse_settings(lines);
-    read.usual_retry = retry_of(fields, nested.at("family-info").at("default-retry").get<int>());
+    read.default_retry = retry_of(fields, nested.at("family-info").at("default-retry").get<int>());
     const double quantum = nested.at("quantum-s").get<double>();
     if (!(quantum >= 0 && quantum < 60)) settings.fail("quantum-s", "is out of range");
-    read.quantum = Nanos(std::llround(quantum * 1e9));
-    read.may_talk = !read.peers.empty() && nested.at("allowed").value("peers", false);
+    read.min_batch_interval = Nanos(std::llround(quantum * 1e9));
+    read.gossip_enabled = !read.peers.empty() && nested.at("allowed").value("peers", false);
     read.load_columns = names_of(settings, nested.at("report").at("columns"), "report.columns");
   } catch (const simulator::ProtocolError& error) {
     throw config::ConfigError(where + ": " + error.what());
@@ -141,8 +141,8 @@
   }
   read.classes = names_of(settings, settings.at("classes"), "classes");
   read.zones = names_of(settings, settings.at("azs"), "azs");
-  read.kinds = names_of(settings, settings.at("skus"), "skus");
-  read.known = fields.at("known").dump();
+  read.hardware_kinds = names_of(settings, settings.at("skus"), "skus");
+  read.cached_endpoint_list = fields.at("known").dump();
   return read;
 }
 
--- a/src/platform/platform_config.h
+++ b/src/platform/platform_config.h
@@ -16,16 +16,16 @@
   std::string name;
   net::Address listen, discovery, peer_listen;
   std::vector<net::Address> peers;  // by number, its own included; empty: none
-  bool may_talk = false;            // to them
-  net::Address peers_all;
+  bool gossip_enabled = false;      // to them
+  net::Address all_peers;
   std::uint64_t seed = 0;
-  std::size_t sockets = 0;  // file descriptors at most
+  std::size_t max_descriptors = 0;  // file descriptors at most
   Settings settings;
   // The names that the settings' numbers stand for, in their order.
-  std::vector<std::string> classes, zones, kinds, load_columns;
-  RetryMode usual_retry = RetryMode::after_rejection_proof;  // of a proxy that has no orders for a class
-  Nanos quantum{};                                           // the simulator's least time between two batches
-  std::string known;                                         // the list as last had, in discovery's form
+  std::vector<std::string> classes, zones, hardware_kinds, load_columns;
+  RetryMode default_retry = RetryMode::after_rejection_proof;  // of a proxy that has no orders for a class
+  Nanos min_batch_interval{};        // the simulator's least time between two batches
+  std::string cached_endpoint_list;  // the list as last had, in discovery's form
 };
 
 // Throws config::Faulty: one line that names `where` and the field.
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -28,28 +28,28 @@
 
 }  // namespace
 
-Service::Service(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log)
+PlatformServer::PlatformServer(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log)
     : environment_(environment),
       log_(std::move(log)),
       complaints_(log_, kComplainEvery),
-      channel_(environment.classes, environment.usual_retry),
-      places_(environment.zones, environment.kinds, now() - wall_now()) {
+      channel_(environment.classes, environment.default_retry),
+      places_(environment.zones, environment.hardware_kinds, now() - wall_now()) {
   probers_ = std::make_unique<net::ThreadPool>("prober", kProbers, kProbesWaiting, kSmallestStack);
   // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
   // simulator: each message costs its head, and only so many may go to a proxy.
-  const auto gather = std::max(environment_.quantum, kGatherLeast);
+  const auto gather = std::max(environment_.min_batch_interval, kGatherLeast);
   driver_ = std::make_unique<control_plane::ControllerDriver>(
       control_plane::ControllerDriver::Start{environment_.settings, environment_.seed, gather, nullptr, ""},
       now, static_cast<control_plane::ControllerFrontend&>(*this));
   std::uint64_t revision = 0;
   try {
-    const auto known = discovery::parse_endpoint_list_update(environment_.known);
+    const auto known = discovery::parse_endpoint_list_update(environment_.cached_endpoint_list);
     revision = known.revision;
     take_list(known, true);
   } catch (const net::Error& error) {
     log_peer_error(std::string("no list was known: ") + error.what());
   }
-  if (environment_.may_talk) {
+  if (environment_.gossip_enabled) {
     teller_ = std::make_unique<net::ThreadPool>("teller", 1, kWordsWaiting, kSmallestStack);
     const auto heard = [this](PeerId peer, std::string_view message) {
       driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
@@ -57,25 +57,26 @@
       });
     };
     peers_ = std::make_unique<GossipChannel>(environment_.peer_listen, environment_.peers,
-                                             environment_.peers_all, heard);
+                                             environment_.all_peers, heard);
   }
   MessageNames vocabulary;
   vocabulary.classes = environment_.classes;
   vocabulary.zones = environment_.zones;
   vocabulary.load_columns = environment_.load_columns;
   vocabulary.proxies = environment_.settings.proxies;
-  vocabulary.replica_of = [this](std::string_view name) {
+  vocabulary.find_replica = [this](std::string_view name) {
     const std::lock_guard held(lock_);
-    return places_.find(name);
+    return places_.find_id(name);
   };
-  streams_ = std::make_unique<StreamServer>(environment_.listen, environment_.sockets - kOtherDescriptors,
-                                            std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
+  streams_ =
+      std::make_unique<StreamServer>(environment_.listen, environment_.max_descriptors - kOtherDescriptors,
+                                     std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
   registry_ = std::make_unique<discovery::DiscoveryWatcher>(
       environment_.discovery, revision, static_cast<discovery::EndpointListHandler&>(*this));
   driver_->start([this] { run_maintenance(); }, kLookEvery);
 }
 
-void Service::stop() {
+void PlatformServer::stop() {
   if (stopped_.exchange(true)) return;
   interrupt_.set();
   registry_->stop();
@@ -86,15 +87,16 @@
   if (peers_) peers_->stop();
 }
 
-void Service::renew(const PlatformConfig& environment) {
+void PlatformServer::reload(const PlatformConfig& environment) {
   log_->info("configuration read again, discovery at {}", environment.discovery.text());
   registry_->move_to(environment.discovery);
 }
 
 // --- Orders
 
-void Service::on_published(Nanos, const std::optional<routing_state::RoutingState::Published>& published,
-                           const std::vector<std::pair<AckRequestId, bool>>& marks) {
+void PlatformServer::on_published(Nanos,
+                                  const std::optional<routing_state::RoutingState::Published>& published,
+                                  const std::vector<std::pair<AckRequestId, bool>>& marks) {
   {
     const std::lock_guard held(lock_);
     if (published) {
@@ -103,17 +105,18 @@
         channel_.on_published(pending.proxy, version_->snapshot_of(pending.proxy));
     }
     for (const auto& [mark, reach_all] : marks) {
-      for (const auto proxy : version_->marked(reach_all)) channel_.marked(proxy, mark, reach_all);
+      for (const auto proxy : version_->marked(reach_all))
+        channel_.request_acknowledgement(proxy, mark, reach_all);
     }
   }
   if (streams_) streams_->wake();
 }
 
-void Service::request_health_check(ReplicaId replica) {
+void PlatformServer::request_health_check(ReplicaId replica) {
   net::Address at;
   {
     const std::lock_guard held(lock_);
-    const auto* place = places_.place(replica);
+    const auto* place = places_.find_endpoint(replica);
     if (!place || place->phase == EndpointPhase::gone) return;
     if (!probed_.insert(replica).second) return;  // the last one still waits for its turn
     at = place->address;
@@ -124,12 +127,12 @@
   probed_.erase(replica);
 }
 
-void Service::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
+void PlatformServer::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
   if (!peers_) return;
   teller_->take([this, peer, words = std::string(message)] { peers_->send_to_peer(peer, words); });
 }
 
-void Service::log(std::string_view line) {
+void PlatformServer::log(std::string_view line) {
   std::string named;
   {
     const std::lock_guard held(lock_);
@@ -140,11 +143,11 @@
 
 // --- Streams
 
-void Service::on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
+void PlatformServer::on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
   driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
     {
       const std::lock_guard held(lock_);
-      channel_.joined(proxy);
+      channel_.on_proxy_joined(proxy);
     }
     book.remove_proxy(proxy);
     book.add_proxy(proxy);
@@ -152,32 +155,32 @@
   });
 }
 
-void Service::on_proxy_left(ProxyId proxy) {
+void PlatformServer::on_proxy_left(ProxyId proxy) {
   driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
     governor.on_proxy_left(at, proxy);
     book.remove_proxy(proxy);
     const std::lock_guard held(lock_);
-    channel_.left(proxy);
+    channel_.on_proxy_left(proxy);
   });
 }
 
-void Service::on_replica_load_report(const ReplicaLoadReport& sum) {
+void PlatformServer::on_replica_load_report(const ReplicaLoadReport& sum) {
   driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
     governor.on_replica_load_report(at, sum, record::Origin{});
   });
 }
 
-void Service::on_demand_report(ProxyId proxy, const DemandReport& demand) {
+void PlatformServer::on_demand_report(ProxyId proxy, const DemandReport& demand) {
   driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
     governor.on_demand_report(at, demand, record::Origin{proxy, {}});
   });
 }
 
-void Service::on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) {
+void PlatformServer::on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) {
   std::vector<AckRequestId> settled;
   {
     const std::lock_guard held(lock_);
-    settled = channel_.answered(proxy, nonce);
+    settled = channel_.on_acknowledgement(proxy, nonce);
   }
   for (const auto mark : settled) {
     driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
@@ -186,50 +189,50 @@
   }
 }
 
-std::vector<ProxyId> Service::due_proxies() {
+std::vector<ProxyId> PlatformServer::due_proxies() {
   const std::lock_guard held(lock_);
   return {channel_.due_proxies().begin(), channel_.due_proxies().end()};
 }
 
-std::string Service::next_message(ProxyId proxy) {
+std::string PlatformServer::next_message(ProxyId proxy) {
   const std::lock_guard held(lock_);
-  return channel_.next(proxy, [this](ReplicaId id) { return name_of(id); }).bytes;
+  return channel_.next_message(proxy, [this](ReplicaId id) { return name_of(id); }).bytes;
 }
 
 // Empty if it was let go or never given. With the lock held.
-std::string_view Service::name_of(ReplicaId id) const {
-  const auto* place = places_.place(id);
+std::string_view PlatformServer::name_of(ReplicaId id) const {
+  const auto* place = places_.find_endpoint(id);
   return place ? std::string_view(place->name) : std::string_view{};
 }
 
 // --- The list, and what is asked of replicas
 
-void Service::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) {
+void PlatformServer::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) {
   take_list(roster, false);
 }
 
-void Service::take_list(const discovery::EndpointListUpdate& roster, bool at_start) {
+void PlatformServer::take_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   log_list(roster, at_start);
   std::size_t refused = roster.refused;
   driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
     EndpointRegistry::Changes taken;
     {
       const std::lock_guard held(lock_);
-      taken = places_.take(roster);
-      channel_.out(taken.out);
+      taken = places_.apply(roster);
+      channel_.drop_replicas(taken.no_longer_ready);
     }
-    refused += taken.refused;
-    const auto kind = at_start                               ? EndpointListKind::cached
-                      : roster.complete && !taken.as_changes ? EndpointListKind::complete
-                                                             : EndpointListKind::changes;
-    governor.on_endpoint_list(at, kind, taken.entries);
+    refused += taken.rejected;
+    const auto kind = at_start                                          ? EndpointListKind::cached
+                      : roster.complete && !taken.must_apply_as_changes ? EndpointListKind::complete
+                                                                        : EndpointListKind::changes;
+    governor.on_endpoint_list(at, kind, taken.updates);
   });
   if (refused > 0) log_peer_error("entries of the list that cannot be read");
   if (streams_) streams_->wake();
 }
 
 // At the start a line for all, later one for each change.
-void Service::log_list(const discovery::EndpointListUpdate& roster, bool at_start) {
+void PlatformServer::log_list(const discovery::EndpointListUpdate& roster, bool at_start) {
   std::size_t ready = 0, young = 0;
   for (const auto& member : roster.members) {
     const bool recent =
@@ -246,7 +249,7 @@
                roster.members.size(), ready, young);
 }
 
-void Service::ask_load(ReplicaId replica, const net::Address& at) {
+void PlatformServer::ask_load(ReplicaId replica, const net::Address& at) {
   HealthCheckResult answer;
   answer.replica = replica;
   {
@@ -260,7 +263,7 @@
     const auto got = http::fetch(at, request, begun + kProbeWithin, &interrupt_);
     answer.refused = got.status == 503;
     answer.answered = got.status == 200;
-    if (answer.answered) answer.load = read_report(got.body, environment_.load_columns);
+    if (answer.answered) answer.load = parse_load_report(got.body, environment_.load_columns);
   } catch (const MessageError& spoilt) {
     log_peer_error("a load report was dropped: " + std::string(spoilt.what()));
     answer.answered = false;
@@ -275,10 +278,10 @@
 }
 
 // Every so often: what no call may do, as it would wait or take long.
-void Service::run_maintenance() {
+void PlatformServer::run_maintenance() {
   if (wants_list_.exchange(false)) registry_->look();
   const std::lock_guard held(lock_);
-  for (const auto id : channel_.unheld(places_.gone())) places_.let_go(id);
+  for (const auto id : channel_.unused_replicas(places_.gone_replicas())) places_.release(id);
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -24,16 +24,16 @@
 
 namespace ospreypost::platform {
 
-class Service : private control_plane::ControllerFrontend,
-                private StreamEventHandler,
-                private discovery::EndpointListHandler {
+class PlatformServer : private control_plane::ControllerFrontend,
+                       private StreamEventHandler,
+                       private discovery::EndpointListHandler {
  public:
   // Throws net::Error if an address cannot be had. Serves from then on.
-  Service(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log);
-  ~Service() override { stop(); }
+  PlatformServer(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log);
+  ~PlatformServer() override { stop(); }
   net::Address address() const { return streams_->address(); }
   // Takes what may change while it serves: where discovery is.
-  void renew(const PlatformConfig& environment);
+  void reload(const PlatformConfig& environment);
   void stop();
 
  private:
--- a/src/platform/stream_server.cpp
+++ b/src/platform/stream_server.cpp
@@ -13,8 +13,8 @@
 constexpr auto kLook = 100ms;     // between looks for those
 constexpr std::size_t kAdmitAtOnce = 64;
 constexpr std::size_t kMostOut = std::size_t{256} << 10;  // of answers to a party that does not read
-constexpr resp::Limits kOfStrangers{std::size_t{4} << 10, 32};
-constexpr resp::Limits kOfJoined{std::size_t{64} << 10, 64};
+constexpr resp::MessageLimits kOfStrangers{std::size_t{4} << 10, 32};
+constexpr resp::MessageLimits kOfJoined{std::size_t{64} << 10, 64};
 
 // The message as far as a log line has room for it, and nothing in it that could break the line.
 std::string shown(const std::vector<std::string_view>& words) {
@@ -38,7 +38,7 @@
 
   void on_liveness_request() override {
     std::string alive;
-    resp::write(alive, {"alive"});
+    resp::write_message(alive, {"alive"});
     if (guest_.out.size() > kMostOut || !streams_.write(guest_, alive))
       throw net::Error("it takes no answer");
   }
@@ -173,7 +173,7 @@
     const auto got = net::read_now(guest.socket, buffer);
     if (!got) return;
     if (*got == 0) return end(guest.key);
-    guest.reader.put({buffer.data(), *got});
+    guest.reader.append({buffer.data(), *got});
     while (understand(guest)) {
     }
   } catch (const resp::ProtocolError& error) {
@@ -191,7 +191,7 @@
   try {
     parse_message(*words, vocabulary_, guest.party, guest.proxy, ear);
   } catch (const MessageError& spoilt) {
-    if (guest.party == PeerRole::stranger) {
+    if (guest.party == PeerRole::unidentified) {
       refuse(guest, spoilt.what());
       return false;
     }
@@ -201,9 +201,9 @@
 }
 
 void StreamServer::refuse(Connection& guest, const std::string& why) {
-  if (guest.party == PeerRole::stranger) {
+  if (guest.party == PeerRole::unidentified) {
     std::string error;
-    resp::write(error, {"error", "why", why});
+    resp::write_message(error, {"error", "why", why});
     write(guest, error);
   }
   sink_.log_peer_error("a connection was ended: " + why);
--- a/src/platform/stream_server.h
+++ b/src/platform/stream_server.h
@@ -48,8 +48,8 @@
   struct Connection {
     std::uint64_t key = 0;
     net::Socket socket;
-    resp::Reader reader;
-    PeerRole party = PeerRole::stranger;
+    resp::MessageReader reader;
+    PeerRole party = PeerRole::unidentified;
     std::optional<ProxyId> proxy;
     net::Deadline since;
     std::string out;  // not taken by the system yet; of a proxy at most one message and its answers
--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -51,14 +51,14 @@
 TableUpdateEncoder::TableUpdateEncoder(std::vector<std::string> classes, RetryMode usual)
     : classes_(std::move(classes)), usual_{1, usual} {}
 
-void TableUpdateEncoder::joined(ProxyId id) {
+void TableUpdateEncoder::on_proxy_joined(ProxyId id) {
   auto& proxy = proxies_[id];
   proxy = {};
   proxy.written.assign(classes_.size(), Table{false, nullptr, usual_});
   due_.erase(id);
 }
 
-void TableUpdateEncoder::left(ProxyId id) {
+void TableUpdateEncoder::on_proxy_left(ProxyId id) {
   proxies_.erase(id);
   due_.erase(id);
 }
@@ -72,7 +72,7 @@
   due_.insert(id);
 }
 
-void TableUpdateEncoder::out(const std::vector<ReplicaId>& replicas) {
+void TableUpdateEncoder::drop_replicas(const std::vector<ReplicaId>& replicas) {
   for (auto& [id, proxy] : proxies_) {
     if (proxy.wanted || replicas.empty()) continue;
     for (const auto replica : replicas) {
@@ -83,7 +83,7 @@
   }
 }
 
-void TableUpdateEncoder::marked(ProxyId id, AckRequestId mark, bool alone) {
+void TableUpdateEncoder::request_acknowledgement(ProxyId id, AckRequestId mark, bool alone) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
   known->second.marks.push_back(mark);
@@ -154,7 +154,7 @@
   return names;
 }
 
-TableUpdateEncoder::Message TableUpdateEncoder::next(
+TableUpdateEncoder::Message TableUpdateEncoder::next_message(
     ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
   Message message;
   due_.erase(id);
@@ -188,7 +188,7 @@
       };
       if (!part.classes.empty() && part.classes.size() < classes_.size())
         field("routes", routes(part.classes));
-      if (part.full && at == 0) field("full", "1"), ++message.lines;
+      if (part.full && at == 0) field("full", "1"), ++message.entries;
       const auto end = std::min(part.lines.size(), at + kMostLines);
       std::string lines;
       for (; at < end; ++at) {
@@ -196,7 +196,7 @@
         const auto name = name_of(replica);
         // A proxy breaks with whoever names what discovery never listed.
         if (name.empty()) continue;
-        ++message.lines;
+        ++message.entries;
         lines += lines.empty() ? "" : ",";
         lines += name;
         lines += ':';
@@ -206,24 +206,24 @@
       if (part.terms && at == part.lines.size()) {
         field("admit", part.terms->level > 0 ? figure(part.terms->level) : "0");
         field("policy", std::to_string(static_cast<int>(part.terms->retry)));
-        message.lines += part.classes.size();
+        message.entries += part.classes.size();
       }
       pushes.push_back(std::move(words));
     } while (at < part.lines.size());
   }
   if (!proxy.marks.empty()) {
-    ++message.lines;
+    ++message.entries;
     pushes.back().insert(pushes.back().end(), {"nonce_out", std::to_string(++last_nonce_)});
     proxy.asked.emplace_back(last_nonce_, std::exchange(proxy.marks, {}));
   }
   for (std::size_t n = 0; n < pushes.size(); ++n) {
     if (n + 1 < pushes.size()) pushes[n].insert(pushes[n].end(), {"continued", "1"});
-    resp::write(message.bytes, {pushes[n].begin(), pushes[n].end()});
+    resp::write_message(message.bytes, {pushes[n].begin(), pushes[n].end()});
   }
   return message;
 }
 
-std::vector<AckRequestId> TableUpdateEncoder::answered(ProxyId id, std::uint64_t nonce) {
+std::vector<AckRequestId> TableUpdateEncoder::on_acknowledgement(ProxyId id, std::uint64_t nonce) {
   std::vector<AckRequestId> settled;
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return settled;
@@ -236,7 +236,7 @@
   return settled;
 }
 
-std::vector<ReplicaId> TableUpdateEncoder::unheld(const std::vector<ReplicaId>& replicas) const {
+std::vector<ReplicaId> TableUpdateEncoder::unused_replicas(const std::vector<ReplicaId>& replicas) const {
   if (replicas.empty()) return {};
   std::set<const routing_state::RoutingTable*> routing_tables;
   for (const auto& [id, proxy] : proxies_) {
--- a/src/platform/table_update_encoder.h
+++ b/src/platform/table_update_encoder.h
@@ -25,30 +25,30 @@
   TableUpdateEncoder(std::vector<std::string> classes, RetryMode usual);
 
   // A new stream: whatever was written on another counts for nothing.
-  void joined(ProxyId proxy);
-  void left(ProxyId proxy);
+  void on_proxy_joined(ProxyId proxy);
+  void on_proxy_left(ProxyId proxy);
   // What the proxy is to hold from now on.
   void on_published(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot);
   // Joined proxies without tables of ours are to drop these lines from what they brought along.
-  void out(const std::vector<ReplicaId>& replicas);
+  void drop_replicas(const std::vector<ReplicaId>& replicas);
   // The proxy is to answer once it has applied all that stands now. `alone`: also if there is nothing else to
   // write to it.
-  void marked(ProxyId proxy, AckRequestId mark, bool alone);
+  void request_acknowledgement(ProxyId proxy, AckRequestId mark, bool alone);
 
   // Whom there is something to write to.
   const std::set<ProxyId>& due_proxies() const { return due_; }
 
   struct Message {
-    std::string bytes;      // empty: nothing differs
-    std::size_t lines = 0;  // as the platform counts them, without the head
+    std::string bytes;        // empty: nothing differs
+    std::size_t entries = 0;  // as the platform counts them, without the head
   };
   // Counts as written. `name_of` gives the name that discovery knows a replica by.
-  Message next(ProxyId proxy, const std::function<std::string_view(ReplicaId)>& name_of);
+  Message next_message(ProxyId proxy, const std::function<std::string_view(ReplicaId)>& name_of);
 
   // The marks that the answer to `nonce` settles, that of earlier messages included.
-  std::vector<AckRequestId> answered(ProxyId proxy, std::uint64_t nonce);
+  std::vector<AckRequestId> on_acknowledgement(ProxyId proxy, std::uint64_t nonce);
   // Those of which no proxy may still hold a line.
-  std::vector<ReplicaId> unheld(const std::vector<ReplicaId>& replicas) const;
+  std::vector<ReplicaId> unused_replicas(const std::vector<ReplicaId>& replicas) const;
 
  private:
   // Views are shared by all proxies that hold the same, so a table written costs no copy of its lines.
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -31,21 +31,21 @@
 
 }  // namespace
 
-void Reader::put(std::string_view bytes) {
+void MessageReader::append(std::string_view bytes) {
   if (at_ > 0) bytes_.erase(0, at_), at_ = 0;
   bytes_.append(bytes);
 }
 
-std::optional<std::vector<std::string_view>> Reader::next() {
+std::optional<std::vector<std::string_view>> MessageReader::next() {
   const std::string_view bytes = bytes_;
   auto at = at_;
   const auto count = header(bytes, at, '*');
   if (!count) return std::nullopt;
-  if (*count == 0 || *count > limits_.words) throw ProtocolError("a message of so many words");
+  if (*count == 0 || *count > limits_.max_words) throw ProtocolError("a message of so many words");
   std::vector<std::string_view> words;
   for (std::size_t n = 0; n < *count; ++n) {
     const auto size = header(bytes, at, '$');
-    if (at - at_ > limits_.bytes || (size && *size > limits_.bytes - (at - at_)))
+    if (at - at_ > limits_.max_bytes || (size && *size > limits_.max_bytes - (at - at_)))
       throw ProtocolError("a message of so many bytes");
     if (!size || bytes.size() - at < *size + 2) {
       if (size && bytes.size() - at > *size && bytes[at + *size] != '\r')
@@ -60,7 +60,7 @@
   return words;
 }
 
-void write(std::string& to, const std::vector<std::string_view>& words) {
+void write_message(std::string& to, const std::vector<std::string_view>& words) {
   to += '*' + std::to_string(words.size()) + "\r\n";
   for (const auto word : words) {
     to += '$' + std::to_string(word.size()) + "\r\n";
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -17,28 +17,28 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Limits {
-  std::size_t bytes = std::size_t{64} << 10;  // of one message, framing included
-  std::size_t words = 64;                     // of one message
+struct MessageLimits {
+  std::size_t max_bytes = std::size_t{64} << 10;  // of one message, framing included
+  std::size_t max_words = 64;                     // of one message
 };
 
 // Takes bytes in pieces of any size.
-class Reader {
+class MessageReader {
  public:
-  explicit Reader(Limits limits = {}) : limits_(limits) {}
-  void set_limits(Limits limits) { limits_ = limits; }
-  void put(std::string_view bytes);
+  explicit MessageReader(MessageLimits limits = {}) : limits_(limits) {}
+  void set_limits(MessageLimits limits) { limits_ = limits; }
+  void append(std::string_view bytes);
   // The words of the next whole message, valid until the next call on the reader; empty if none is whole yet.
   // Throws Malformed as soon as the bytes can become no message.
   std::optional<std::vector<std::string_view>> next();
-  std::size_t held() const { return bytes_.size() - at_; }  // bytes of a message that is not whole
+  std::size_t buffered_bytes() const { return bytes_.size() - at_; }  // bytes of a message that is not whole
 
  private:
-  Limits limits_;
+  MessageLimits limits_;
   std::string bytes_;
   std::size_t at_ = 0;  // up to here it is read
 };
 
-void write(std::string& to, const std::vector<std::string_view>& words);
+void write_message(std::string& to, const std::vector<std::string_view>& words);
 
 }  // namespace ospreypost::resp
--- a/tests/program/event_ordering_test.cpp
+++ b/tests/program/event_ordering_test.cpp
@@ -188,7 +188,7 @@
 struct Following : testing::Test {
   Discovery discovery;
   PlatformConfig environment = parse_platform_config(test::platform_config(discovery.address()), "test");
-  Service service{environment, std::make_shared<spdlog::logger>("test")};
+  PlatformServer service{environment, std::make_shared<spdlog::logger>("test")};
   test::Peer proxy{service.address()};
 
   void SetUp() override {
@@ -199,7 +199,7 @@
   void move_to(const Discovery& other) {
     auto renewed = environment;
     renewed.discovery = net::Address::parse(other.address());
-    service.renew(renewed);
+    service.reload(renewed);
   }
 };
 
@@ -409,7 +409,7 @@
 
 TEST_F(Crossing, AMessageInSingleBytesAcrossABreakIsNeitherStreams) {
   std::string hello;
-  resp::write(hello, {"hello", "id", "3", "site", "east", "rps", "20.5", "new", "1"});
+  resp::write_message(hello, {"hello", "id", "3", "site", "east", "rps", "20.5", "new", "1"});
   {
     auto first = known_peer();
     for (std::size_t n = 0; n < hello.size() / 2; ++n) first.say_raw(hello.substr(n, 1));
@@ -485,7 +485,7 @@
     ASSERT_EQ(::connect(knock.get(), reinterpret_cast<sockaddr*>(&to), sizeof(to)), 0);
   const auto says_hello = [](const net::Socket& from, std::string_view id) {
     std::string bytes;
-    resp::write(bytes, {"hello", "id", id, "site", "east", "rps", "20.5", "new", "1"});
+    resp::write_message(bytes, {"hello", "id", id, "site", "east", "rps", "20.5", "new", "1"});
     net::write_fully(from, bytes, net::Steady::now() + 10s);
   };
   says_hello(knocks[0], "2");
@@ -530,7 +530,7 @@
   config.replace(config.find(in_load_reports), in_load_reports.size(), R"("via":"pull")");
   const auto from = config.find(known) + known.size();
   config.replace(from, config.find("]", from) - from, members);
-  Service service(parse_platform_config(config, "test"), std::make_shared<spdlog::logger>("test"));
+  PlatformServer service(parse_platform_config(config, "test"), std::make_shared<spdlog::logger>("test"));
   for (int times = 0; times < 2; ++times) {
     const auto asked = net::accept(healthy, net::Steady::now() + 15s);
     ASSERT_TRUE(asked) << "after " << times;
--- a/tests/program/platform_server_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -23,7 +23,7 @@
 struct Platform : testing::Test {
   Discovery discovery;
   PlatformConfig environment = parse_platform_config(test::platform_config(discovery.address()), "test");
-  Service service{environment, std::make_shared<spdlog::logger>("test")};
+  PlatformServer service{environment, std::make_shared<spdlog::logger>("test")};
   net::Address at = service.address();
 };
 
@@ -114,7 +114,7 @@
   Discovery other;
   auto renewed = environment;
   renewed.discovery = net::Address::parse(other.address());
-  service.renew(renewed);
+  service.reload(renewed);
   EXPECT_EQ(other.next_watch(), "/registry/instances?watch=1&after=43");
   other.say(test::roster(44, false, test::member("s-2", "DELETED")));
   EXPECT_EQ(lines_of(proxy)["s-2"], "0");
--- a/tests/program/platform_support.h
+++ b/tests/program/platform_support.h
@@ -50,7 +50,7 @@
   explicit Peer(const net::Address& to) : socket_(net::connect(to, soon())) {}
   void say(const std::vector<std::string_view>& words) {
     std::string bytes;
-    resp::write(bytes, words);
+    resp::write_message(bytes, words);
     say_raw(bytes);
   }
   void say_raw(std::string_view bytes) { net::write_fully(socket_, bytes, soon()); }
@@ -72,14 +72,14 @@
         if (std::string_view(error.what()) == "nothing came in time") throw;
       }
       if (got == 0) return {};
-      reader_.put({piece, got});
+      reader_.append({piece, got});
     }
   }
 
  private:
   static net::Deadline soon() { return net::Steady::now() + std::chrono::seconds(10); }
   net::Socket socket_;
-  resp::Reader reader_{{std::size_t{1} << 20, 4096}};
+  resp::MessageReader reader_{{std::size_t{1} << 20, 4096}};
 };
 
 // Lines of the next push that has any, by replica.
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -21,7 +21,7 @@
 
 // Reads a byte at a time, and knows no shortcut.
 struct PlainReader {
-  resp::Limits limits;
+  resp::MessageLimits limits;
   std::vector<Words> messages;
   Words words;
   std::string line, rest;
@@ -44,7 +44,7 @@
     }
     line += c;
     if (line.front() != (at == array ? '*' : '$')) malformed = true;
-    if (line.size() > 11 || bytes > limits.bytes + 11) malformed = true;
+    if (line.size() > 11 || bytes > limits.max_bytes + 11) malformed = true;
     const bool ends = line.size() >= 2 && line.substr(line.size() - 2) == "\r\n";
     const auto digits = line.substr(1, line.find('\r') - 1);
     if (digits.find_first_not_of("0123456789") != std::string::npos) malformed = true;
@@ -57,10 +57,10 @@
     rest.clear();
     if (at == array) {
       wanted = count;
-      malformed = count == 0 || count > limits.words;
+      malformed = count == 0 || count > limits.max_words;
       at = size;
     } else {
-      malformed = bytes > limits.bytes || count > limits.bytes - bytes;
+      malformed = bytes > limits.max_bytes || count > limits.max_bytes - bytes;
       at = body;
     }
   }
@@ -68,11 +68,11 @@
 };
 
 RC_GTEST_PROP(Resp, ReadsWhatAPlainReaderReadsHoweverTheBytesArrive, ()) {
-  const resp::Limits limits{200, 8};
+  const resp::MessageLimits limits{200, 8};
   std::string bytes;
   for (int n = *rc::gen::inRange(0, 4); n > 0; --n) {
     const auto words = *rc::gen::nonEmpty(rc::gen::container<Words>(rc::gen::string<std::string>()));
-    resp::write(bytes, {words.begin(), words.end()});
+    resp::write_message(bytes, {words.begin(), words.end()});
   }
   // Mostly sound, sometimes with a byte changed.
   if (!bytes.empty() && *rc::gen::inRange(0, 2) == 0)
@@ -82,12 +82,12 @@
   plain.limits = limits;
   for (const char c : bytes) plain.put(c);
 
-  resp::Reader reader(limits);
+  resp::MessageReader reader(limits);
   std::vector<Words> messages;
   bool malformed = false;
   for (std::size_t at = 0; at < bytes.size() && !malformed;) {
     const auto piece = *rc::gen::inRange<std::size_t>(1, bytes.size() - at + 1);
-    reader.put(std::string_view(bytes).substr(at, piece));
+    reader.append(std::string_view(bytes).substr(at, piece));
     at += piece;
     try {
       while (const auto words = reader.next()) messages.emplace_back(words->begin(), words->end());
@@ -100,14 +100,14 @@
 }
 
 TEST(Resp, RefusesALengthBeforeItsBytesCome) {
-  resp::Reader reader({1000, 8});
-  reader.put("*1\r\n$99999999\r\n");
+  resp::MessageReader reader({1000, 8});
+  reader.append("*1\r\n$99999999\r\n");
   EXPECT_THROW(reader.next(), resp::ProtocolError);
-  resp::Reader web;
-  web.put("GET / HTTP/1.1\r\n");
+  resp::MessageReader web;
+  web.append("GET / HTTP/1.1\r\n");
   EXPECT_THROW(web.next(), resp::ProtocolError);
-  resp::Reader endless;
-  endless.put("*1111111111111");
+  resp::MessageReader endless;
+  endless.append("*1111111111111");
   EXPECT_THROW(endless.next(), resp::ProtocolError);
 }
 
@@ -128,7 +128,7 @@
 
 MessageNames vocabulary() {
   MessageNames known{{"read", "sign"}, {"east", "west"}, {"inflight", "util"}, 10, {}};
-  known.replica_of = [](std::string_view name) {
+  known.find_replica = [](std::string_view name) {
     return name == "s-1" ? std::optional(ReplicaId{7}) : std::nullopt;
   };
   return known;
@@ -171,9 +171,9 @@
   EXPECT_EQ(told("demand id 3 lane sign count 1 fail 4 over 900", PeerRole::proxy, heard), "sum demand ");
   EXPECT_EQ(heard.demand.cls, ClassId{1});
   EXPECT_EQ(told("ack id 3 seq 905 ms 310.4", PeerRole::proxy), "mark ");
-  EXPECT_EQ(told("hello id 9 site east rps 0 new 0", PeerRole::stranger), "hello ");
-  EXPECT_EQ(told("agent site east", PeerRole::stranger), "agent ");
-  EXPECT_EQ(told("probe", PeerRole::stranger), "life ");
+  EXPECT_EQ(told("hello id 9 site east rps 0 new 0", PeerRole::unidentified), "hello ");
+  EXPECT_EQ(told("agent site east", PeerRole::unidentified), "agent ");
+  EXPECT_EQ(told("probe", PeerRole::unidentified), "life ");
 }
 
 TEST(Messages, SpoiltOnesAreRefusedWhole) {
@@ -207,43 +207,43 @@
   for (const char* line : {"hello id 10 site east rps 1 new 1", "hello id 3 site north rps 1 new 1",
                            "hello id 3 site east rps 1 new 2", "agent site north", "ack id 3 seq 1 ms 1",
                            "demand id 3 lane sign count 1 fail 0 over 900", "push full 1"}) {
-    EXPECT_EQ(told(line, PeerRole::stranger), "spoilt") << line;
+    EXPECT_EQ(told(line, PeerRole::unidentified), "spoilt") << line;
   }
   EXPECT_EQ(told("ack id 3 seq 1 ms 1", PeerRole::collector), "spoilt");
 }
 
 TEST(Messages, ALoadReportIsReadByItsColumns) {
-  EXPECT_EQ(read_report("TEXT inflight=7, util=0.61\n", {"inflight", "util"}),
+  EXPECT_EQ(parse_load_report("TEXT inflight=7, util=0.61\n", {"inflight", "util"}),
             (std::vector<float>{7, 0.61f}));
-  EXPECT_TRUE(read_report("", {"util"}).empty());
-  EXPECT_THROW(read_report("TEXT util=high", {"util"}), MessageError);
+  EXPECT_TRUE(parse_load_report("", {"util"}).empty());
+  EXPECT_THROW(parse_load_report("TEXT util=high", {"util"}), MessageError);
 }
 
 // --- Places
 
 TEST(EndpointRegistry, NumbersAreGivenOnceAndStartsAreOneStart) {
   EndpointRegistry places({"east"}, {"new"}, -100s);
-  const auto first = places.take(discovery::parse_endpoint_list_update(test::roster(
+  const auto first = places.apply(discovery::parse_endpoint_list_update(test::roster(
       1, true, test::member("a") + "," + test::member("b", "SERVING", "127.0.0.1:9", "150000"))));
-  ASSERT_EQ(first.entries.size(), 2u);
-  EXPECT_EQ(first.entries[1].started, 50s);
-  const auto a = *places.find("a"), b = *places.find("b");
+  ASSERT_EQ(first.updates.size(), 2u);
+  EXPECT_EQ(first.updates[1].started, 50s);
+  const auto a = *places.find_id("a"), b = *places.find_id("b");
   // Whoever a whole list leaves out is gone, and no later one gets its number.
-  const auto second = places.take(
+  const auto second = places.apply(
       discovery::parse_endpoint_list_update(test::roster(2, true, test::member("b", "DRAINING"))));
-  EXPECT_EQ(second.out.size(), 2u);
-  EXPECT_EQ(places.gone(), std::vector<ReplicaId>{a});
-  places.let_go(a);
+  EXPECT_EQ(second.no_longer_ready.size(), 2u);
+  EXPECT_EQ(places.gone_replicas(), std::vector<ReplicaId>{a});
+  places.release(a);
   EXPECT_EQ(places.size(), 1u);
-  EXPECT_EQ(places.place(a), nullptr);
-  places.take(discovery::parse_endpoint_list_update(test::roster(3, false, test::member("a"))));
-  EXPECT_NE(*places.find("a"), a);
-  EXPECT_EQ(*places.find("b"), b);
+  EXPECT_EQ(places.find_endpoint(a), nullptr);
+  places.apply(discovery::parse_endpoint_list_update(test::roster(3, false, test::member("a"))));
+  EXPECT_NE(*places.find_id("a"), a);
+  EXPECT_EQ(*places.find_id("b"), b);
   // Of a zone that the settings don't have, nothing can be said.
-  const auto odd = places.take(discovery::parse_endpoint_list_update(
+  const auto odd = places.apply(discovery::parse_endpoint_list_update(
       R"({"revision":4,"complete":false,"members":[{"id":"c","host_port":"127.0.0.1:9","locality":"moon","flavor":"new","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]})"));
-  EXPECT_EQ(odd.refused, 1u);
-  EXPECT_FALSE(places.find("c"));
+  EXPECT_EQ(odd.rejected, 1u);
+  EXPECT_FALSE(places.find_id("c"));
 }
 
 TEST(EndpointRegistry, AListThatCannotBeReadIsNone) {
@@ -271,8 +271,8 @@
   std::string nonce;
 
   void apply(const std::string& bytes) {
-    resp::Reader reader({std::size_t{1} << 20, 4096});
-    reader.put(bytes);
+    resp::MessageReader reader({std::size_t{1} << 20, 4096});
+    reader.append(bytes);
     bool more = false;
     while (const auto words = reader.next()) {
       std::map<std::string, std::string> fields;
@@ -325,7 +325,7 @@
     switch (*rc::gen::inRange(0, 8)) {
       case 0:
         book.add_proxy(proxy);
-        channel.joined(proxy);
+        channel.on_proxy_joined(proxy);
         // It may bring along anything.
         joined[p] = {};
         joined[p].tables["read"].lines = {{"s-4", 3.0}};
@@ -333,7 +333,7 @@
         break;
       case 1:
         book.remove_proxy(proxy);
-        channel.left(proxy);
+        channel.on_proxy_left(proxy);
         joined.erase(p);
         break;
       case 2:
@@ -364,9 +364,9 @@
       if (*rc::gen::inRange(0, 4) == 0) continue;
       auto& plain = joined.at(static_cast<std::size_t>(id));
       const auto before = plain.lines;
-      const auto message = channel.next(id, name_of);
+      const auto message = channel.next_message(id, name_of);
       plain.apply(message.bytes);
-      RC_ASSERT(plain.lines - before == message.lines);
+      RC_ASSERT(plain.lines - before == message.entries);
     }
     for (const auto& [p2, plain] : joined) {
       const ProxyId id{static_cast<std::uint16_t>(p2)};
@@ -388,29 +388,30 @@
 TEST(TableUpdateEncoder, TwoMarksOfOneMessageAreBothAnswered) {
   TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const ProxyId proxy{1};
-  channel.joined(proxy);
-  channel.marked(proxy, AckRequestId{4}, true);
-  channel.marked(proxy, AckRequestId{9}, true);
+  channel.on_proxy_joined(proxy);
+  channel.request_acknowledgement(proxy, AckRequestId{4}, true);
+  channel.request_acknowledgement(proxy, AckRequestId{9}, true);
   PlainProxy plain;
-  plain.apply(channel.next(proxy, [](ReplicaId) { return std::string_view("s"); }).bytes);
-  EXPECT_TRUE(channel.answered(proxy, 77).empty()) << "an answer to what was never asked";
-  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)),
+  plain.apply(channel.next_message(proxy, [](ReplicaId) { return std::string_view("s"); }).bytes);
+  EXPECT_TRUE(channel.on_acknowledgement(proxy, 77).empty()) << "an answer to what was never asked";
+  EXPECT_EQ(channel.on_acknowledgement(proxy, std::stoul(plain.nonce)),
             (std::vector<AckRequestId>{AckRequestId{4}, AckRequestId{9}}));
-  EXPECT_TRUE(channel.answered(proxy, std::stoul(plain.nonce)).empty());
+  EXPECT_TRUE(channel.on_acknowledgement(proxy, std::stoul(plain.nonce)).empty());
 }
 
 TEST(TableUpdateEncoder, AMarkThatGoesWithOrdersMakesNoMessageOfItsOwn) {
   TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const ProxyId proxy{1};
   const auto name = [](ReplicaId) { return std::string_view("s"); };
-  channel.joined(proxy);
-  channel.marked(proxy, AckRequestId{4}, false);
-  EXPECT_TRUE(channel.next(proxy, name).bytes.empty()) << "each message counts against its limit";
-  channel.out({ReplicaId{2}});
-  channel.marked(proxy, AckRequestId{5}, false);
+  channel.on_proxy_joined(proxy);
+  channel.request_acknowledgement(proxy, AckRequestId{4}, false);
+  EXPECT_TRUE(channel.next_message(proxy, name).bytes.empty()) << "each message counts against its limit";
+  channel.drop_replicas({ReplicaId{2}});
+  channel.request_acknowledgement(proxy, AckRequestId{5}, false);
   PlainProxy plain;
-  plain.apply(channel.next(proxy, name).bytes);
-  EXPECT_EQ(channel.answered(proxy, std::stoul(plain.nonce)), std::vector<AckRequestId>{AckRequestId{5}});
+  plain.apply(channel.next_message(proxy, name).bytes);
+  EXPECT_EQ(channel.on_acknowledgement(proxy, std::stoul(plain.nonce)),
+            std::vector<AckRequestId>{AckRequestId{5}});
 }
 
 TEST(TableUpdateEncoder, WhatNobodyHoldsIsFound) {
@@ -418,36 +419,36 @@
   routing_state::RoutingState book(2);
   TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
   const std::vector<ReplicaId> both{ReplicaId{1}, ReplicaId{2}};
-  EXPECT_EQ(channel.unheld(both), both);
+  EXPECT_EQ(channel.unused_replicas(both), both);
   const auto order = [&](ReplicaId replica, double weight) {
     book.set_table_entry(TableId{0}, replica, weight);
     channel.on_published(ProxyId{1}, book.publish(Nanos{})->version->snapshot_of(ProxyId{1}));
   };
   book.add_proxy(ProxyId{1});
-  channel.joined(ProxyId{1});
+  channel.on_proxy_joined(ProxyId{1});
   book.bind(ProxyId{1}, TableId{0}, 0);
   order(ReplicaId{1}, 1);
-  EXPECT_EQ(channel.unheld(both), std::vector<ReplicaId>{ReplicaId{2}}) << "it is to hold the other";
-  channel.next(ProxyId{1}, name);
+  EXPECT_EQ(channel.unused_replicas(both), std::vector<ReplicaId>{ReplicaId{2}}) << "it is to hold the other";
+  channel.next_message(ProxyId{1}, name);
   order(ReplicaId{2}, 1);
   order(ReplicaId{1}, 0);
-  EXPECT_TRUE(channel.unheld(both).empty())
+  EXPECT_TRUE(channel.unused_replicas(both).empty())
       << "its stream was last written the one, and is to hold the other";
-  channel.next(ProxyId{1}, name);
-  EXPECT_EQ(channel.unheld(both), std::vector<ReplicaId>{ReplicaId{1}});
+  channel.next_message(ProxyId{1}, name);
+  EXPECT_EQ(channel.unused_replicas(both), std::vector<ReplicaId>{ReplicaId{1}});
 }
 
 TEST(TableUpdateEncoder, WhatIsOutLeavesTheLinesOfThoseWhoWaitForATable) {
   TableUpdateEncoder channel({"read", "sign"}, RetryMode::after_rejection_proof);
-  channel.joined(ProxyId{1});
-  channel.out({ReplicaId{2}});
+  channel.on_proxy_joined(ProxyId{1});
+  channel.drop_replicas({ReplicaId{2}});
   PlainProxy plain;
   plain.tables["read"].lines = {{"s-2", 1.0}, {"s-3", 1.0}};
-  plain.apply(channel.next(ProxyId{1}, [](ReplicaId) { return std::string_view("s-2"); }).bytes);
+  plain.apply(channel.next_message(ProxyId{1}, [](ReplicaId) { return std::string_view("s-2"); }).bytes);
   EXPECT_EQ(plain.tables["read"].lines, (std::map<std::string, double>{{"s-3", 1.0}}));
   // A name that was let go is never written: a proxy would break with us for it.
-  channel.out({ReplicaId{4}});
-  EXPECT_EQ(channel.next(ProxyId{1}, [](ReplicaId) { return std::string_view(); }).lines, 0u);
+  channel.drop_replicas({ReplicaId{4}});
+  EXPECT_EQ(channel.next_message(ProxyId{1}, [](ReplicaId) { return std::string_view(); }).entries, 0u);
 }
 
 // --- The configuration
