--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -1,71 +1,103 @@
 #include "resp/resp.h"
 
+#include <algorithm>
 #include <charconv>
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <vector>
 
 namespace ospreypost::resp {
 namespace {
 
-constexpr std::size_t kMostDigits = 8;
+constexpr std::size_t kMaxLengthDigits = 8;
+constexpr std::string_view kLineEnd = "\r\n";
 
-// The number of a line such as "*3" or "$12" at `at`, which moves past it; empty if the line is not whole.
-std::optional<std::size_t> header(std::string_view bytes, std::size_t& at, char sign) {
-  if (at >= bytes.size()) return std::nullopt;
-  if (bytes[at] != sign) throw ProtocolError("no array of bulk strings");
-  const auto line = bytes.substr(at + 1, kMostDigits + 2);
-  const auto end = line.find('\r');
-  const auto digits = line.substr(0, end);
+// A line such as "*3" or "$12".
+struct LengthLine {
+  std::size_t length = 0;
+  std::size_t line_bytes = 0;  // its sign and its end included
+};
+
+std::size_t parse_digits(std::string_view digits) {
   std::size_t number = 0;
-  const auto read = std::from_chars(digits.data(), digits.data() + digits.size(), number);
-  if (!digits.empty() && (read.ec != std::errc{} || read.ptr != digits.data() + digits.size()))
-    throw ProtocolError("a length is no number");
-  if (end == std::string_view::npos) {
-    if (line.size() > kMostDigits) throw ProtocolError("a length without an end");
+  const char* const end = digits.data() + digits.size();
+  const auto parsed = std::from_chars(digits.data(), end, number);
+  if (parsed.ec != std::errc{} || parsed.ptr != end) throw ProtocolError("a length is no number");
+  return number;
+}
+
+// The line that `bytes` begins with; empty if it is not complete.
+std::optional<LengthLine> parse_length_line(std::string_view bytes, char sign) {
+  if (bytes.empty()) return std::nullopt;
+  if (bytes.front() != sign) throw ProtocolError("no array of bulk strings");
+  const auto line = bytes.substr(1, kMaxLengthDigits + kLineEnd.size());
+  const auto digits_end = line.find('\r');
+  const auto digits = line.substr(0, digits_end);
+  // Checked also while the line is incomplete, so that a peer which speaks another protocol is found out
+  // early.
+  const std::size_t length = digits.empty() ? 0 : parse_digits(digits);
+  if (digits_end == std::string_view::npos) {
+    if (line.size() > kMaxLengthDigits) throw ProtocolError("a length without an end");
     return std::nullopt;
   }
   if (digits.empty()) throw ProtocolError("a length is missing");
-  if (end + 1 >= line.size()) return std::nullopt;
-  if (line[end + 1] != '\n') throw ProtocolError("a length without its line's end");
-  at += 1 + end + 2;
-  return number;
+  if (digits_end + 1 >= line.size()) return std::nullopt;
+  if (line[digits_end + 1] != '\n') throw ProtocolError("a length without its line's end");
+  return LengthLine{length, 1 + digits_end + kLineEnd.size()};
 }
 
 }  // namespace
 
 void MessageReader::append(std::string_view bytes) {
-  if (at_ > 0) bytes_.erase(0, at_), at_ = 0;
+  bytes_.erase(0, read_bytes_);
+  read_bytes_ = 0;
   bytes_.append(bytes);
 }
 
 std::optional<std::vector<std::string_view>> MessageReader::next() {
-  const std::string_view bytes = bytes_;
-  auto at = at_;
-  const auto count = header(bytes, at, '*');
+  const auto unread = std::string_view(bytes_).substr(read_bytes_);
+  const auto count = parse_length_line(unread, '*');
   if (!count) return std::nullopt;
-  if (*count == 0 || *count > limits_.max_words) throw ProtocolError("a message of so many words");
+  if (count->length == 0 || count->length > limits_.max_words)
+    throw ProtocolError("a message of so many words");
+  std::size_t position = count->line_bytes;
   std::vector<std::string_view> words;
-  for (std::size_t n = 0; n < *count; ++n) {
-    const auto size = header(bytes, at, '$');
-    if (at - at_ > limits_.max_bytes || (size && *size > limits_.max_bytes - (at - at_)))
-      throw ProtocolError("a message of so many bytes");
-    if (!size || bytes.size() - at < *size + 2) {
-      if (size && bytes.size() - at > *size && bytes[at + *size] != '\r')
-        throw ProtocolError("a word without its end");
-      return std::nullopt;
-    }
-    words.push_back(bytes.substr(at, *size));
-    if (bytes.substr(at + *size, 2) != "\r\n") throw ProtocolError("a word without its end");
-    at += *size + 2;
+  for (std::size_t n = 0; n < count->length; ++n) {
+    const auto word = read_word(unread, position);
+    if (!word) return std::nullopt;
+    words.push_back(*word);
   }
-  at_ = at;
+  read_bytes_ += position;
   return words;
 }
 
-void write_message(std::string& to, const std::vector<std::string_view>& words) {
-  to += '*' + std::to_string(words.size()) + "\r\n";
+// The word that begins at `position`, which moves past it; empty if it is not complete.
+std::optional<std::string_view> MessageReader::read_word(std::string_view unread,
+                                                         std::size_t& position) const {
+  const auto size = parse_length_line(unread.substr(position), '$');
+  if (size) position += size->line_bytes;
+  if (position > limits_.max_bytes || (size && size->length > limits_.max_bytes - position))
+    throw ProtocolError("a message of so many bytes");
+  if (!size) return std::nullopt;
+  const auto rest = unread.substr(position);
+  const auto came_of_end = rest.substr(std::min(size->length, rest.size()), kLineEnd.size());
+  if (!kLineEnd.starts_with(came_of_end)) throw ProtocolError("a word without its end");
+  if (came_of_end.size() < kLineEnd.size()) return std::nullopt;
+  position += size->length + kLineEnd.size();
+  return rest.substr(0, size->length);
+}
+
+void write_message(std::string& output, const std::vector<std::string_view>& words) {
+  output += '*' + std::to_string(words.size());
+  output += kLineEnd;
   for (const auto word : words) {
-    to += '$' + std::to_string(word.size()) + "\r\n";
-    to += word;
-    to += "\r\n";
+    output += '$' + std::to_string(word.size());
+    output += kLineEnd;
+    output += word;
+    output += kLineEnd;
   }
 }
 
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -1,5 +1,6 @@
-// RESP2 arrays of bulk strings, the framing of the platform's messages. Pure: bytes in, words out. What a
-// peer declares is never allocated ahead; every limit is checked on the declaration, before its bytes come.
+/// RESP2 arrays of bulk strings, the framing of the platform's messages: bytes in, words out. No I/O.
+/// What a peer declares is never allocated ahead: every limit is checked on the declaration, before its bytes
+/// come.
 #pragma once
 
 #include <cstddef>
@@ -11,34 +12,41 @@
 
 namespace ospreypost::resp {
 
-// Bytes that can be no message, or one past the limits; nothing after them can be read.
+/// Bytes that can become no message, or a message past the limits. Nothing after them can be read.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// The limits of one message.
 struct MessageLimits {
-  std::size_t max_bytes = std::size_t{64} << 10;  // of one message, framing included
-  std::size_t max_words = 64;                     // of one message
+  std::size_t max_bytes = std::size_t{64} << 10;  ///< framing included
+  std::size_t max_words = 64;
 };
 
-// Takes bytes in pieces of any size.
+/// Splits a stream of bytes, which come in pieces of any size, into messages. Not thread-safe.
 class MessageReader {
  public:
   explicit MessageReader(MessageLimits limits = {}) : limits_(limits) {}
+  /// The limits of the messages that are read from now on.
   void set_limits(MessageLimits limits) { limits_ = limits; }
+  /// Adds bytes as they came. Words that `next` returned are invalid from then on.
   void append(std::string_view bytes);
-  // The words of the next whole message, valid until the next call on the reader; empty if none is whole yet.
-  // Throws Malformed as soon as the bytes can become no message.
+  /// The words of the next complete message, valid until the next call of `append`; empty if none is complete
+  /// yet. Throws `ProtocolError` as soon as the bytes can become no message.
   std::optional<std::vector<std::string_view>> next();
-  std::size_t buffered_bytes() const { return bytes_.size() - at_; }  // bytes of a message that is not whole
+  /// Bytes that were added and are not part of a message that was read.
+  std::size_t buffered_bytes() const { return bytes_.size() - read_bytes_; }
 
  private:
+  std::optional<std::string_view> read_word(std::string_view unread, std::size_t& position) const;
+
   MessageLimits limits_;
   std::string bytes_;
-  std::size_t at_ = 0;  // up to here it is read
+  std::size_t read_bytes_ = 0;  // of `bytes_`, from its start
 };
 
-void write_message(std::string& to, const std::vector<std::string_view>& words);
+/// Appends one message of these words to `output`.
+void write_message(std::string& output, const std::vector<std::string_view>& words);
 
 }  // namespace ospreypost::resp
