--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -1,12 +1,20 @@
 #include "platform/endpoint_registry.h"
 
 #include <algorithm>
+#include <cstdint>
+#include <optional>
 #include <set>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "discovery/discovery_watcher.h"
+#include "policy/controller.h"
 
 namespace ospreypost::platform {
 namespace {
 
-std::optional<std::uint16_t> position(const std::vector<std::string>& names, const std::string& name) {
+std::optional<std::uint16_t> index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) return std::nullopt;
   return static_cast<std::uint16_t>(found - names.begin());
@@ -14,52 +22,72 @@
 
 }  // namespace
 
-EndpointUpdate EndpointRegistry::entry_of(const discovery::EndpointEntry& member, Changes& taken) {
-  const auto known = ids_.find(member.name);
-  const ReplicaId id = known != ids_.end() ? known->second : ReplicaId{next_++};
-  if (known == ids_.end()) ids_.emplace(member.name, id);
-  auto& place = places_[id];
-  place.name = member.name;
-  if (member.phase != EndpointPhase::ready && place.phase == EndpointPhase::ready)
-    taken.no_longer_ready.push_back(id);
-  place.phase = member.phase;
-  EndpointUpdate entry;
-  entry.replica = id;
-  entry.phase = member.phase;
-  if (member.phase == EndpointPhase::gone) return entry;
-  place.address = member.address;
-  entry.zone = ZoneId{*position(zones_, member.zone)};
-  entry.kind = HardwareKindId{*position(kinds_, member.kind)};
-  entry.cell = CellId{static_cast<std::uint16_t>(member.cell)};
-  entry.weight = member.weight;
-  if (member.started) entry.started = *member.started + offset_;
-  return entry;
-}
-
-EndpointRegistry::Changes EndpointRegistry::apply(const discovery::EndpointListUpdate& roster) {
-  Changes taken;
-  std::set<std::string_view> named(roster.unreadable.begin(), roster.unreadable.end());
-  for (const auto& member : roster.members) {
-    named.insert(member.name);
-    const bool gone = member.phase == EndpointPhase::gone;
-    // Nobody needs to hear that a stranger is gone.
-    if (gone && !ids_.contains(member.name)) continue;
-    if (!gone && (!position(zones_, member.zone) || !position(kinds_, member.kind))) {
-      ++taken.rejected;
+EndpointRegistry::Changes EndpointRegistry::apply(const discovery::EndpointListUpdate& list) {
+  Changes changes;
+  for (const auto& entry : list.members) {
+    const bool gone = entry.phase == EndpointPhase::gone;
+    if (!gone && !has_known_placement(entry)) {
+      ++changes.rejected;
       continue;
     }
-    taken.updates.push_back(entry_of(member, taken));
+    // That a replica is gone which nobody knows concerns nobody.
+    if (gone && !ids_.contains(entry.name)) continue;
+    apply_entry(entry, changes);
   }
-  if (!roster.complete) return taken;
-  taken.must_apply_as_changes = taken.rejected + roster.refused > 0;
-  for (auto& [id, place] : places_) {
-    if (named.contains(place.name) || place.phase == EndpointPhase::gone) continue;
-    if (place.phase == EndpointPhase::ready) taken.no_longer_ready.push_back(id);
-    place.phase = EndpointPhase::gone;
-    if (taken.must_apply_as_changes)
-      taken.updates.push_back({id, {}, {}, {}, EndpointPhase::gone, 1, std::nullopt});
+  if (!list.complete) return changes;
+  changes.must_apply_as_changes = changes.rejected + list.refused > 0;
+  remove_unlisted(list, changes);
+  return changes;
+}
+
+bool EndpointRegistry::has_known_placement(const discovery::EndpointEntry& entry) const {
+  return index_of(zones_, entry.zone) && index_of(hardware_kinds_, entry.kind);
+}
+
+ReplicaId EndpointRegistry::id_for(const std::string& name) {
+  if (const auto known = ids_.find(name); known != ids_.end()) return known->second;
+  const ReplicaId id{next_id_++};
+  ids_.emplace(name, id);
+  return id;
+}
+
+void EndpointRegistry::apply_entry(const discovery::EndpointEntry& entry, Changes& changes) {
+  const auto id = id_for(entry.name);
+  auto& endpoint = endpoints_[id];
+  endpoint.name = entry.name;
+  const bool was_ready = endpoint.phase == EndpointPhase::ready;
+  if (was_ready && entry.phase != EndpointPhase::ready) changes.no_longer_ready.push_back(id);
+  endpoint.phase = entry.phase;
+  if (entry.phase != EndpointPhase::gone) endpoint.address = entry.address;
+  changes.updates.push_back(make_update(entry, id));
+}
+
+EndpointUpdate EndpointRegistry::make_update(const discovery::EndpointEntry& entry, ReplicaId id) const {
+  EndpointUpdate update;
+  update.replica = id;
+  update.phase = entry.phase;
+  if (entry.phase == EndpointPhase::gone) return update;
+  update.zone = ZoneId{*index_of(zones_, entry.zone)};
+  update.kind = HardwareKindId{*index_of(hardware_kinds_, entry.kind)};
+  update.cell = CellId{static_cast<std::uint16_t>(entry.cell)};
+  update.weight = entry.weight;
+  if (entry.started) update.started = *entry.started + clock_offset_;
+  return update;
+}
+
+void EndpointRegistry::remove_unlisted(const discovery::EndpointListUpdate& list, Changes& changes) {
+  std::set<std::string_view> listed(list.unreadable.begin(), list.unreadable.end());
+  for (const auto& entry : list.members) listed.insert(entry.name);
+  for (auto& [id, endpoint] : endpoints_) {
+    if (listed.contains(endpoint.name) || endpoint.phase == EndpointPhase::gone) continue;
+    if (endpoint.phase == EndpointPhase::ready) changes.no_longer_ready.push_back(id);
+    endpoint.phase = EndpointPhase::gone;
+    if (!changes.must_apply_as_changes) continue;
+    EndpointUpdate update;
+    update.replica = id;
+    update.phase = EndpointPhase::gone;
+    changes.updates.push_back(update);
   }
-  return taken;
 }
 
 std::optional<ReplicaId> EndpointRegistry::find_id(std::string_view name) const {
@@ -69,23 +97,23 @@
 }
 
 const RegisteredEndpoint* EndpointRegistry::find_endpoint(ReplicaId id) const {
-  const auto known = places_.find(id);
-  return known == places_.end() ? nullptr : &known->second;
+  const auto known = endpoints_.find(id);
+  return known == endpoints_.end() ? nullptr : &known->second;
 }
 
 std::vector<ReplicaId> EndpointRegistry::gone_replicas() const {
   std::vector<ReplicaId> found;
-  for (const auto& [id, place] : places_) {
-    if (place.phase == EndpointPhase::gone) found.push_back(id);
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.phase == EndpointPhase::gone) found.push_back(id);
   }
   return found;
 }
 
 void EndpointRegistry::release(ReplicaId id) {
-  const auto known = places_.find(id);
-  if (known == places_.end()) return;
+  const auto known = endpoints_.find(id);
+  if (known == endpoints_.end()) return;
   ids_.erase(known->second.name);
-  places_.erase(known);
+  endpoints_.erase(known);
 }
 
 }  // namespace ospreypost::platform
