--- a/src/platform/gossip_channel.cpp
+++ b/src/platform/gossip_channel.cpp
@@ -2,48 +2,67 @@
 
 #include <algorithm>
 #include <array>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "net/socket.h"
+#include "net/threads.h"
+#include "policy/controller.h"
 
 namespace ospreypost::platform {
 namespace {
 
-constexpr std::size_t kMostBytes = 256;  // a longer one voids the platform's run
-constexpr std::size_t kStack = 64 * 1024;
-constexpr auto kLook = std::chrono::milliseconds(200);  // for the end of service, between waits
+// The platform ends the run of whoever sends a longer one.
+constexpr std::size_t kMaxMessageBytes = 256;
+constexpr std::size_t kReceiverStackBytes = std::size_t{64} * 1024;
+constexpr auto kStopCheckInterval = std::chrono::milliseconds(200);
 
 }  // namespace
 
 GossipChannel::GossipChannel(const net::Address& listen, std::vector<net::Address> peers,
-                             const net::Address& all, Heard heard)
-    : peers_(std::move(peers)), all_(all), heard_(std::move(heard)), socket_(net::bind_udp(listen)) {
-  thread_ = net::Thread(
-      "peers", [this] { this->listen(); }, kStack);
-}
+                             net::Address all_peers, MessageCallback on_message)
+    : peers_(std::move(peers)),
+      all_peers_(std::move(all_peers)),
+      on_message_(std::move(on_message)),
+      socket_(net::bind_udp(listen)),
+      receiver_(
+          "peers", [this] { receive_until_stopped(); }, kReceiverStackBytes) {}
 
 void GossipChannel::stop() {
   stopping_ = true;
-  thread_.join();
+  receiver_.join();
 }
 
 bool GossipChannel::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
-  const auto number = peer ? static_cast<std::size_t>(*peer) : 0;
-  if (message.size() > kMostBytes || (peer && number >= peers_.size())) return false;
+  const auto index = peer ? static_cast<std::size_t>(*peer) : 0;
+  if (message.size() > kMaxMessageBytes || (peer && index >= peers_.size())) return false;
   net::send_to(socket_, {reinterpret_cast<const std::uint8_t*>(message.data()), message.size()},
-               peer ? peers_[number] : all_);
+               peer ? peers_[index] : all_peers_);
   return true;
 }
 
-void GossipChannel::listen() {
-  // One byte more than may come, so that what was cut is seen to be.
-  std::array<std::uint8_t, kMostBytes + 1> bytes;
+void GossipChannel::receive_until_stopped() {
+  // One byte more than may come: a longer datagram is cut, and would pass for one of the permitted length.
+  std::array<std::uint8_t, kMaxMessageBytes + 1> buffer{};
   while (!stopping_) {
-    const auto got = net::receive_from(socket_, bytes, net::Steady::now() + kLook);
-    if (!got || got->first > kMostBytes) continue;
-    const auto from = std::find(peers_.begin(), peers_.end(), got->second);
-    // Whoever is no peer says nothing here.
-    if (from == peers_.end()) continue;
-    heard_(PeerId{static_cast<std::uint16_t>(from - peers_.begin())},
-           {reinterpret_cast<const char*>(bytes.data()), got->first});
+    const auto datagram = net::receive_from(socket_, buffer, net::Steady::now() + kStopCheckInterval);
+    if (!datagram) continue;
+    const auto& [size, sender] = *datagram;
+    if (size > kMaxMessageBytes) continue;
+    if (const auto peer = find_peer(sender))
+      on_message_(*peer, {reinterpret_cast<const char*>(buffer.data()), size});
   }
 }
 
+std::optional<PeerId> GossipChannel::find_peer(const net::Address& sender) const {
+  const auto found = std::find(peers_.begin(), peers_.end(), sender);
+  if (found == peers_.end()) return std::nullopt;
+  return PeerId{static_cast<std::uint16_t>(found - peers_.begin())};
+}
+
 }  // namespace ospreypost::platform
