--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -46,7 +46,7 @@
       reader.append(bytes.substr(at, piece));
       while (const auto words = reader.next()) {
         try {
-          platform::parse_message(*words, known, from, ProxyId{3}, deaf);
+          platform::parse_message(*words, known, {from, ProxyId{3}}, deaf);
         } catch (const platform::MessageError&) {
         }
       }
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -3,55 +3,74 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
+#include <cstddef>
+#include <cstdint>
+#include <limits>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <vector>
+
+#include "policy/controller.h"
 
 namespace ospreypost::platform {
 namespace {
 
-// What no sound report goes past.
-constexpr double kMostTime = 600'000;  // ms
-constexpr std::uint64_t kMostCount = 10'000'000;
-constexpr double kMostLoad = 1e6;
-constexpr double kMostUse = 2;  // of a replica's cores
-constexpr double kMostRate = 1e6;
+// Bounds that no sound report passes.
+constexpr double kMaxMilliseconds = 600'000;
+constexpr std::uint64_t kMaxCount = 10'000'000;
+constexpr double kMaxLoad = 1e6;
+constexpr double kMaxUtilization = 2;  // of a replica's cores
+constexpr double kMaxRequestsPerSecond = 1e6;
+constexpr std::uint64_t kMaxProxyId = 65534;
+
+constexpr double kNanosPerMillisecond = 1e6;
+constexpr std::size_t kMaxShownKindBytes = 20;
 
-[[noreturn]] void refuse(std::string_view field, const char* what) {
-  throw MessageError(std::string(field) + " " + what);
+[[noreturn]] void reject(std::string_view field, const char* reason) {
+  throw MessageError(std::string(field) + " " + reason);
 }
 
-double number(std::string_view field, std::string_view text, double most) {
-  double value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) refuse(field, "is no number");
-  if (!(value >= 0 && value <= most)) refuse(field, "is out of range");
+// Empty unless the whole text is one number.
+template <typename Number>
+std::optional<Number> to_number(std::string_view text) {
+  Number value = 0;
+  const char* const end = text.data() + text.size();
+  const auto parsed = std::from_chars(text.data(), end, value);
+  if (parsed.ec != std::errc{} || parsed.ptr != end) return std::nullopt;
   return value;
 }
 
-std::uint64_t whole(std::string_view field, std::string_view text, std::uint64_t most) {
-  std::uint64_t value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) refuse(field, "is no whole number");
-  if (value > most) refuse(field, "is out of range");
-  return value;
+double parse_number(std::string_view field, std::string_view text, double max) {
+  const auto value = to_number<double>(text);
+  if (!value) reject(field, "is no number");
+  const bool in_range = *value >= 0 && *value <= max;  // which a NaN is not
+  if (!in_range) reject(field, "is out of range");
+  return *value;
 }
 
-Nanos time(std::string_view field, std::string_view text) {
-  return Nanos(std::llround(number(field, text, kMostTime) * 1e6));
+std::uint64_t parse_integer(std::string_view field, std::string_view text, std::uint64_t max) {
+  const auto value = to_number<std::uint64_t>(text);
+  if (!value) reject(field, "is no whole number");
+  if (*value > max) reject(field, "is out of range");
+  return *value;
 }
 
-std::size_t position(std::string_view field, std::string_view name, const std::vector<std::string>& names) {
+std::size_t index_of(std::string_view field, std::string_view name, const std::vector<std::string>& names) {
   const auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) refuse(field, "is unknown");
+  if (found == names.end()) reject(field, "is unknown");
   return static_cast<std::size_t>(found - names.begin());
 }
 
-// The fields after the kind, each once.
-class Fields {
+// The fields after the message's kind, each of which may come once.
+class MessageFields {
  public:
-  explicit Fields(const std::vector<std::string_view>& words) : words_(words) {
+  explicit MessageFields(const std::vector<std::string_view>& words) : words_(words) {
     if (words.size() % 2 == 0) throw MessageError("a field without a value");
-    for (std::size_t n = 1; n < words.size(); n += 2) {
-      for (std::size_t m = 1; m < n; m += 2) {
-        if (words[m] == words[n]) refuse(words[n], "comes twice");
+    for (std::size_t later = 1; later < words.size(); later += 2) {
+      for (std::size_t earlier = 1; earlier < later; earlier += 2) {
+        if (words[earlier] == words[later]) reject(words[later], "comes twice");
       }
     }
   }
@@ -63,118 +82,155 @@
   }
   std::string_view text(std::string_view name) const {
     const auto found = find(name);
-    if (!found) refuse(name, "is missing");
+    if (!found) reject(name, "is missing");
     return *found;
   }
+  double number(std::string_view name, double max) const { return parse_number(name, text(name), max); }
+  std::uint64_t integer(std::string_view name, std::uint64_t max) const {
+    return parse_integer(name, text(name), max);
+  }
+  std::uint32_t count(std::string_view name) const {
+    return static_cast<std::uint32_t>(integer(name, kMaxCount));
+  }
+  Nanos milliseconds(std::string_view name) const {
+    return Nanos(std::llround(number(name, kMaxMilliseconds) * kNanosPerMillisecond));
+  }
+  // A time that is above zero.
+  Nanos span(std::string_view name) const {
+    const auto span = milliseconds(name);
+    if (span <= Nanos{}) reject(name, "is no span");
+    return span;
+  }
 
  private:
   const std::vector<std::string_view>& words_;
 };
 
-ProxyId proxy_of(const Fields& fields, const MessageNames& vocabulary) {
-  const auto id = whole("id", fields.text("id"), 65534);
-  if (id >= vocabulary.proxies) refuse("id", "is no proxy's");
+ProxyId parse_proxy(const MessageFields& fields, const MessageNames& names) {
+  const auto id = fields.integer("id", kMaxProxyId);
+  if (id >= names.proxies) reject("id", "is no proxy's");
   return ProxyId{static_cast<std::uint16_t>(id)};
 }
 
-ZoneId zone_of(const Fields& fields, const MessageNames& vocabulary) {
-  return ZoneId{static_cast<std::uint16_t>(position("site", fields.text("site"), vocabulary.zones))};
+ZoneId parse_zone(const MessageFields& fields, const MessageNames& names) {
+  return ZoneId{static_cast<std::uint16_t>(index_of("site", fields.text("site"), names.zones))};
+}
+
+ClassId parse_class(const MessageFields& fields, const MessageNames& names) {
+  return ClassId{static_cast<std::uint16_t>(index_of("lane", fields.text("lane"), names.classes))};
+}
+
+ReplicaLoadReport parse_replica_load_report(const MessageFields& fields, const MessageNames& names) {
+  ReplicaLoadReport report;
+  report.zone = parse_zone(fields, names);
+  const auto replica = names.find_replica(fields.text("target"));
+  if (!replica) reject("target", "is unknown");
+  report.replica = *replica;
+  report.attempts = fields.count("count");
+  report.failed = fields.count("fail");
+  if (report.failed > report.attempts) reject("fail", "is above count");
+  // Where no attempt succeeded there is no latency to report.
+  const bool has_latency = report.failed < report.attempts || fields.find("mean");
+  if (has_latency) report.mean_latency = fields.milliseconds("mean");
+  report.span = fields.span("over");
+  if (const auto load = fields.find("util")) report.load = parse_load_columns(*load, ':', names.load_columns);
+  return report;
+}
+
+DemandReport parse_demand_report(const MessageFields& fields, const MessageNames& names) {
+  DemandReport report;
+  report.cls = parse_class(fields, names);
+  report.operations = fields.count("count");
+  // Requests are counted as failed when they end, which may be after the span in which they arrived: there
+  // may be more of them than arrived.
+  report.unanswered = fields.count("fail");
+  report.span = fields.span("over");
+  return report;
 }
 
-ReplicaLoadReport read_sum(const Fields& fields, const MessageNames& vocabulary) {
-  ReplicaLoadReport sum;
-  sum.zone = zone_of(fields, vocabulary);
-  const auto replica = vocabulary.find_replica(fields.text("target"));
-  if (!replica) refuse("target", "is unknown");
-  sum.replica = *replica;
-  sum.attempts = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
-  sum.failed = static_cast<std::uint32_t>(whole("fail", fields.text("fail"), kMostCount));
-  if (sum.failed > sum.attempts) refuse("fail", "is above count");
-  // Where no try went well there is no time to tell.
-  if (sum.failed < sum.attempts || fields.find("mean")) sum.mean_latency = time("mean", fields.text("mean"));
-  sum.span = time("over", fields.text("over"));
-  if (sum.span <= Nanos{}) refuse("over", "is no span");
-  if (const auto load = fields.find("util"))
-    sum.load = parse_load_columns(*load, ':', vocabulary.load_columns);
-  return sum;
+void handle_proxy_hello(const MessageFields& fields, const MessageNames& names, const MessageSender& sender,
+                        MessageHandler& handler) {
+  if (sender.role == PeerRole::collector) throw MessageError("a collector that would be a proxy");
+  const auto proxy = parse_proxy(fields, names);
+  if (sender.proxy && *sender.proxy != proxy) throw MessageError("a stream that would be another proxy's");
+  const auto zone = parse_zone(fields, names);
+  const double requests_per_second = fields.number("rps", kMaxRequestsPerSecond);
+  const bool newly_added = fields.integer("new", 1) == 1;
+  handler.on_proxy_hello(proxy, zone, requests_per_second, newly_added);
 }
 
-DemandReport read_demand(const Fields& fields, const MessageNames& vocabulary) {
-  DemandReport demand;
-  demand.cls = ClassId{static_cast<std::uint16_t>(position("lane", fields.text("lane"), vocabulary.classes))};
-  demand.operations = static_cast<std::uint32_t>(whole("count", fields.text("count"), kMostCount));
-  demand.unanswered = static_cast<std::uint32_t>(whole("fail", fields.text("fail"), kMostCount));
-  // What failed may have come before the span that it is counted in, so it may be more than what came.
-  demand.span = time("over", fields.text("over"));
-  if (demand.span <= Nanos{}) refuse("over", "is no span");
-  return demand;
+void handle_collector_hello(const MessageFields& fields, const MessageNames& names,
+                            const MessageSender& sender, MessageHandler& handler) {
+  if (sender.role == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
+  handler.on_collector_hello(parse_zone(fields, names));
+}
+
+void handle_demand_report(const MessageFields& fields, const MessageNames& names, const MessageSender& sender,
+                          MessageHandler& handler) {
+  const auto proxy = parse_proxy(fields, names);
+  if (sender.proxy && *sender.proxy != proxy) throw MessageError("demand of another proxy");
+  handler.on_demand_report(proxy, parse_demand_report(fields, names));
+}
+
+void handle_acknowledgement(const MessageFields& fields, const MessageNames& names,
+                            const MessageSender& sender, MessageHandler& handler) {
+  const auto proxy = parse_proxy(fields, names);
+  if (!sender.proxy || *sender.proxy != proxy) throw MessageError("an answer of another proxy");
+  const auto nonce = fields.integer("seq", std::numeric_limits<std::uint64_t>::max());
+  handler.on_acknowledgement(proxy, nonce, fields.milliseconds("ms"));
+}
+
+std::string quoted(std::string_view kind) {
+  return "'" + std::string(kind.substr(0, kMaxShownKindBytes)) + "'";
+}
+
+std::string_view without_blanks(std::string_view text) {
+  text.remove_prefix(std::min(text.find_first_not_of(' '), text.size()));
+  return text.substr(0, text.find_last_not_of(" \r\n") + 1);
 }
 
 }  // namespace
 
-std::vector<float> parse_load_columns(std::string_view text, char between,
+std::vector<float> parse_load_columns(std::string_view text, char separator,
                                       const std::vector<std::string>& columns) {
   std::vector<std::optional<float>> found(columns.size());
   while (!text.empty()) {
     const auto comma = text.find(',');
-    auto item = text.substr(0, comma);
+    const auto item = without_blanks(text.substr(0, comma));
     text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
-    item.remove_prefix(std::min(item.find_first_not_of(' '), item.size()));
-    item = item.substr(0, item.find_last_not_of(" \r\n") + 1);
-    const auto at = item.find(between);
-    if (at == std::string_view::npos) refuse("the load", "is no list of pairs");
-    const auto name = item.substr(0, at);
-    const auto k = position("a column of the load", name, columns);
-    const double most = name == "util" ? kMostUse : kMostLoad;
-    found[k] = static_cast<float>(number(name, item.substr(at + 1), most));
+    const auto name_end = item.find(separator);
+    if (name_end == std::string_view::npos) reject("the load", "is no list of pairs");
+    const auto name = item.substr(0, name_end);
+    const auto column = index_of("a column of the load", name, columns);
+    const double max = name == "util" ? kMaxUtilization : kMaxLoad;
+    found[column] = static_cast<float>(parse_number(name, item.substr(name_end + 1), max));
   }
   std::vector<float> load;
   for (const auto& value : found) {
-    if (!value) refuse("the load", "lacks a column");
+    if (!value) reject("the load", "lacks a column");
     load.push_back(*value);
   }
   return load;
 }
 
 std::vector<float> parse_load_report(std::string_view body, const std::vector<std::string>& columns) {
-  constexpr std::string_view form = "TEXT ";
-  if (!body.starts_with(form)) return {};
-  return parse_load_columns(body.substr(form.size()), '=', columns);
+  constexpr std::string_view kTextPrefix = "TEXT ";
+  if (!body.starts_with(kTextPrefix)) return {};
+  return parse_load_columns(body.substr(kTextPrefix.size()), '=', columns);
 }
 
-void parse_message(const std::vector<std::string_view>& words, const MessageNames& vocabulary, PeerRole from,
-                   std::optional<ProxyId> proxy, MessageHandler& told) {
+void parse_message(const std::vector<std::string_view>& words, const MessageNames& names,
+                   const MessageSender& sender, MessageHandler& handler) {
   const auto kind = words.front();
-  if (kind == "probe") return told.on_liveness_request();
-  const Fields fields(words);
-  if (kind == "hello") {
-    if (from == PeerRole::collector) throw MessageError("a collector that would be a proxy");
-    const auto id = proxy_of(fields, vocabulary);
-    if (proxy && *proxy != id) throw MessageError("a stream that would be another proxy's");
-    const auto zone = zone_of(fields, vocabulary);
-    const double rate = number("rps", fields.text("rps"), kMostRate);
-    const bool fresh = whole("new", fields.text("new"), 1) == 1;
-    return told.on_proxy_hello(id, zone, rate, fresh);
-  }
-  if (kind == "agent") {
-    if (from == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
-    return told.on_collector_hello(zone_of(fields, vocabulary));
-  }
-  if (from == PeerRole::unidentified)
-    throw MessageError("'" + std::string(kind.substr(0, 20)) + "' of nobody known");
-  if (kind == "outcomes") return told.on_replica_load_report(read_sum(fields, vocabulary));
-  if (kind == "demand") {
-    const auto id = proxy_of(fields, vocabulary);
-    if (proxy && *proxy != id) throw MessageError("demand of another proxy");
-    return told.on_demand_report(id, read_demand(fields, vocabulary));
-  }
-  if (kind == "ack") {
-    const auto id = proxy_of(fields, vocabulary);
-    if (!proxy || *proxy != id) throw MessageError("an answer of another proxy");
-    const auto nonce = whole("seq", fields.text("seq"), ~std::uint64_t{0});
-    return told.on_acknowledgement(id, nonce, time("ms", fields.text("ms")));
-  }
-  throw MessageError("'" + std::string(kind.substr(0, 20)) + "' is no kind of message");
+  if (kind == "probe") return handler.on_liveness_request();
+  const MessageFields fields(words);
+  if (kind == "hello") return handle_proxy_hello(fields, names, sender, handler);
+  if (kind == "agent") return handle_collector_hello(fields, names, sender, handler);
+  if (sender.role == PeerRole::unidentified) throw MessageError(quoted(kind) + " of nobody known");
+  if (kind == "outcomes") return handler.on_replica_load_report(parse_replica_load_report(fields, names));
+  if (kind == "demand") return handle_demand_report(fields, names, sender, handler);
+  if (kind == "ack") return handle_acknowledgement(fields, names, sender, handler);
+  throw MessageError(quoted(kind) + " is no kind of message");
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/stream_server.cpp
+++ b/src/platform/stream_server.cpp
@@ -1,28 +1,51 @@
 #include "platform/stream_server.h"
 
 #include <array>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <exception>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "net/poller.h"
+#include "net/socket.h"
+#include "net/threads.h"
+#include "platform/messages.h"
+#include "policy/controller.h"
+#include "resp/resp.h"
 
 namespace ospreypost::platform {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kListener = 0;
-constexpr int kBacklog = 1024;
-constexpr auto kToJoin = 1500ms;  // a connection that has not by then is nobody's
-constexpr auto kLook = 100ms;     // between looks for those
-constexpr std::size_t kAdmitAtOnce = 64;
-constexpr std::size_t kMostOut = std::size_t{256} << 10;  // of answers to a party that does not read
-constexpr resp::MessageLimits kOfStrangers{std::size_t{4} << 10, 32};
-constexpr resp::MessageLimits kOfJoined{std::size_t{64} << 10, 64};
-
-// The message as far as a log line has room for it, and nothing in it that could break the line.
-std::string shown(const std::vector<std::string_view>& words) {
-  constexpr std::size_t most = 200;
+constexpr std::uint64_t kListenerKey = 0;
+constexpr int kListenBacklog = 1024;
+constexpr std::size_t kMaxAcceptsPerWakeup = 64;
+constexpr std::size_t kReadBufferBytes = 16384;
+// A connection that has not identified itself by then is closed.
+constexpr auto kIdentificationTimeout = 1500ms;
+constexpr auto kTimeoutCheckInterval = 100ms;
+// How long nothing is accepted once there was no descriptor for a connection.
+constexpr auto kAcceptPause = kTimeoutCheckInterval;
+// Of answers to a peer that doesn't read them.
+constexpr std::size_t kMaxUnsentBytes = std::size_t{256} << 10;
+constexpr resp::MessageLimits kUnidentifiedLimits{std::size_t{4} << 10, 32};
+constexpr resp::MessageLimits kIdentifiedLimits{std::size_t{64} << 10, 64};
+
+bool is_printable(char character) { return character > ' ' && character < 127; }
+
+// The message as far as a log line has space for it, without anything that could break the line.
+std::string printable(const std::vector<std::string_view>& words) {
+  constexpr std::size_t kMaxShownBytes = 200;
   std::string text = " in '";
   for (const auto word : words) {
-    if (text.size() > most) break;
-    for (const char c : word.substr(0, most)) text += c > ' ' && c < 127 ? c : '?';
+    if (text.size() > kMaxShownBytes) break;
+    for (const char character : word.substr(0, kMaxShownBytes))
+      text += is_printable(character) ? character : '?';
     text += ' ';
   }
   text.back() = '\'';
@@ -31,61 +54,65 @@
 
 }  // namespace
 
-// What one message tells, with the connection that it came on.
+// Passes on what one message says, together with the connection that it came on.
 class StreamServer::ConnectionMessageHandler : public MessageHandler {
  public:
-  ConnectionMessageHandler(StreamServer& streams, Connection& guest) : streams_(streams), guest_(guest) {}
+  ConnectionMessageHandler(StreamServer& server, Connection& connection)
+      : server_(server), connection_(connection) {}
 
   void on_liveness_request() override {
-    std::string alive;
-    resp::write_message(alive, {"alive"});
-    if (guest_.out.size() > kMostOut || !streams_.write(guest_, alive))
-      throw net::Error("it takes no answer");
+    std::string answer;
+    resp::write_message(answer, {"alive"});
+    const bool written = connection_.unsent.size() <= kMaxUnsentBytes && server_.write(connection_, answer);
+    if (!written) throw net::Error("it takes no answer");
   }
-  void on_proxy_hello(ProxyId proxy, ZoneId zone, double rate, bool fresh) override {
-    if (const auto old = streams_.joined_.find(proxy); old != streams_.joined_.end()) {
-      // Connections are numbered as they come: the proxy has left this one for the other.
-      if (old->second > guest_.key) throw net::Error("the proxy has a newer stream");
-      // The end of the older stream says nothing more about the proxy.
-      const auto key = old->second;
-      streams_.joined_.erase(old);
-      if (key != guest_.key) streams_.end(key);
-    }
-    become(PeerRole::proxy);
-    guest_.proxy = proxy;
-    streams_.joined_[proxy] = guest_.key;
-    streams_.sink_.on_proxy_joined(proxy, zone, rate, fresh);
+  void on_proxy_hello(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) override {
+    take_over_stream(proxy);
+    identify({PeerRole::proxy, proxy});
+    server_.proxy_streams_[proxy] = connection_.key;
+    server_.handler_.on_proxy_joined(proxy, zone, requests_per_second, newly_added);
   }
-  void on_collector_hello(ZoneId) override { become(PeerRole::collector); }
-  void on_replica_load_report(const ReplicaLoadReport& sum) override {
-    streams_.sink_.on_replica_load_report(sum);
+  void on_collector_hello(ZoneId) override { identify({PeerRole::collector, std::nullopt}); }
+  void on_replica_load_report(const ReplicaLoadReport& report) override {
+    server_.handler_.on_replica_load_report(report);
   }
-  void on_demand_report(ProxyId proxy, const DemandReport& demand) override {
-    streams_.sink_.on_demand_report(proxy, demand);
+  void on_demand_report(ProxyId proxy, const DemandReport& report) override {
+    server_.handler_.on_demand_report(proxy, report);
   }
-  void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) override {
-    streams_.sink_.on_acknowledgement(proxy, nonce, took);
+  void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos elapsed) override {
+    server_.handler_.on_acknowledgement(proxy, nonce, elapsed);
   }
 
  private:
-  void become(PeerRole party) {
-    guest_.party = party;
-    guest_.reader.set_limits(kOfJoined);
-    streams_.strangers_.erase(guest_.key);
+  // Closes the older stream of the proxy, if there is one.
+  void take_over_stream(ProxyId proxy) {
+    const auto known = server_.proxy_streams_.find(proxy);
+    if (known == server_.proxy_streams_.end()) return;
+    const auto other = known->second;
+    // The proxy has left this one for the other, though its hello is read only now.
+    if (other > connection_.key) throw net::Error("the proxy has a newer stream");
+    // Before the older stream is closed: its end must not count as the proxy's leaving.
+    server_.proxy_streams_.erase(known);
+    if (other != connection_.key) server_.close_connection(other);
+  }
+  void identify(const MessageSender& peer) {
+    connection_.peer = peer;
+    connection_.reader.set_limits(kIdentifiedLimits);
+    server_.unidentified_.erase(connection_.key);
   }
 
-  StreamServer& streams_;
-  Connection& guest_;
+  StreamServer& server_;
+  Connection& connection_;
 };
 
-StreamServer::StreamServer(const net::Address& listen, std::size_t most, MessageNames vocabulary,
-                           StreamEventHandler& sink)
-    : most_(most),
-      vocabulary_(std::move(vocabulary)),
-      sink_(sink),
-      listener_(net::listen_tcp(listen, kBacklog)) {
-  poller_.add(listener_.get(), kListener);
-  thread_ = net::Thread("streams", [this] { work(); });
+StreamServer::StreamServer(const net::Address& listen, std::size_t max_connections, MessageNames names,
+                           StreamEventHandler& handler)
+    : max_connections_(max_connections),
+      names_(std::move(names)),
+      handler_(handler),
+      listener_(net::listen_tcp(listen, kListenBacklog)) {
+  poller_.add(listener_.get(), kListenerKey);
+  thread_ = net::Thread("streams", [this] { run(); });
 }
 
 void StreamServer::stop() {
@@ -94,163 +121,178 @@
   thread_.join();
 }
 
-void StreamServer::work() {
+void StreamServer::run() {
   while (!stopping_) {
     try {
-      turn();
+      run_once();
     } catch (const std::exception& error) {
-      sink_.log_peer_error(error.what());
+      handler_.log_peer_error(error.what());
     }
   }
 }
 
-void StreamServer::turn() {
-  const auto& ready = poller_.wait(net::Steady::now() + kLook);
-  if (accepts_again_ && net::Steady::now() >= *accepts_again_) {
-    accepts_again_.reset();
-    poller_.set_read_interest(listener_.get(), kListener, true);
-  }
-  for (const auto& event : ready) {
-    if (event.key == kListener) {
-      admit();
-      continue;
-    }
-    const auto guest = guests_.find(event.key);
-    if (guest == guests_.end()) continue;  // it gave way in between
-    if (event.writable && !write(guest->second, {})) {
-      end(event.key);
-      continue;
-    }
-    if (event.readable) hear(guest->second);
-  }
-  end_old_strangers();
-  write_due();
+void StreamServer::run_once() {
+  const auto& ready = poller_.wait(net::Steady::now() + kTimeoutCheckInterval);
+  resume_accepting_if_due();
+  for (const auto& event : ready) on_ready(event);
+  close_overdue_connections();
+  write_due_messages();
 }
 
-void StreamServer::admit() {
-  for (std::size_t n = 0; n < kAdmitAtOnce; ++n) {
+void StreamServer::resume_accepting_if_due() {
+  if (!resume_accepting_at_ || net::Steady::now() < *resume_accepting_at_) return;
+  resume_accepting_at_.reset();
+  poller_.set_read_interest(listener_.get(), kListenerKey, true);
+}
+
+void StreamServer::on_ready(const net::Poller::Ready& event) {
+  if (event.key == kListenerKey) return accept_connections();
+  const auto known = connections_.find(event.key);
+  if (known == connections_.end()) return;  // closed by an event before this one
+  auto& connection = known->second;
+  if (event.writable && !write(connection, {})) return close_connection(event.key);
+  if (event.readable) on_readable(connection);
+}
+
+// --- Accepting and closing
+
+void StreamServer::accept_connections() {
+  for (std::size_t n = 0; n < kMaxAcceptsPerWakeup; ++n) {
     auto accepted = net::accept(listener_, net::Steady::now());
     if (!accepted) {
-      // Somebody knocks and cannot be let in. Against asking again at once, and for ever, while descriptors
-      // lack.
-      if (n > 0) return;
-      make_room();
-      accepts_again_ = net::Steady::now() + kLook;
-      poller_.set_read_interest(listener_.get(), kListener, false);
+      // The listener was ready, but not even its first connection could be had: descriptors are exhausted.
+      if (n == 0) pause_accepting();
       return;
     }
-    if (guests_.size() >= most_) make_room();
-    if (guests_.size() >= most_) continue;
-    const auto key = ++last_key_;
-    auto& guest = guests_[key];
-    guest.key = key;
-    guest.socket = std::move(accepted->first);
-    guest.reader.set_limits(kOfStrangers);
-    guest.since = net::Steady::now();
-    strangers_.insert(key);
-    poller_.add(guest.socket.get(), key);
+    if (connections_.size() >= max_connections_) close_oldest_unidentified();
+    if (connections_.size() < max_connections_) add_connection(std::move(accepted->first));
   }
 }
 
-// The oldest stranger gives way. Neither may a flood keep proxies out, nor may whoever has joined be ended
-// for it, nor whoever is about to: its hello may lie ready.
-void StreamServer::make_room() {
-  const auto before = guests_.size();
-  while (!strangers_.empty() && guests_.size() == before) {
-    const auto oldest = *strangers_.begin();
-    if (is_still_strange(oldest)) end(oldest);
+// Without the pause the listener would be ready again at once, and for as long as descriptors lack.
+void StreamServer::pause_accepting() {
+  close_oldest_unidentified();
+  resume_accepting_at_ = net::Steady::now() + kAcceptPause;
+  poller_.set_read_interest(listener_.get(), kListenerKey, false);
+}
+
+void StreamServer::add_connection(net::Socket socket) {
+  const auto key = ++last_key_;
+  auto& connection = connections_[key];
+  connection.key = key;
+  connection.socket = std::move(socket);
+  connection.reader.set_limits(kUnidentifiedLimits);
+  connection.accepted_at = net::Steady::now();
+  unidentified_.insert(key);
+  poller_.add(connection.socket.get(), key);
+}
+
+// A flood of connections must neither keep proxies out, nor end a connection that has identified itself, nor
+// one that is about to: its hello may wait to be read.
+void StreamServer::close_oldest_unidentified() {
+  const auto connections_before = connections_.size();
+  while (!unidentified_.empty() && connections_.size() == connections_before) {
+    const auto oldest = *unidentified_.begin();
+    if (is_still_unidentified(oldest)) close_connection(oldest);
+  }
+}
+
+void StreamServer::close_overdue_connections() {
+  const auto now = net::Steady::now();
+  while (!unidentified_.empty()) {
+    const auto oldest = *unidentified_.begin();
+    if (now < connections_.at(oldest).accepted_at + kIdentificationTimeout) return;
+    if (is_still_unidentified(oldest)) reject(connections_.at(oldest), "it did not join in time");
   }
 }
 
-bool StreamServer::is_still_strange(std::uint64_t key) {
-  hear(guests_.at(key));
-  return strangers_.contains(key);
+// Reads what waits on the connection first, which may also end it.
+bool StreamServer::is_still_unidentified(std::uint64_t key) {
+  on_readable(connections_.at(key));
+  return unidentified_.contains(key);
+}
+
+void StreamServer::close_connection(std::uint64_t key) {
+  const auto known = connections_.find(key);
+  if (known == connections_.end()) return;
+  const auto proxy = known->second.peer.proxy;
+  poller_.remove(known->second.socket.get());
+  unidentified_.erase(key);
+  connections_.erase(known);
+  if (!proxy) return;
+  const auto stream = proxy_streams_.find(*proxy);
+  if (stream == proxy_streams_.end() || stream->second != key) return;
+  proxy_streams_.erase(stream);
+  handler_.on_proxy_left(*proxy);
 }
 
-void StreamServer::hear(Connection& guest) {
-  std::array<char, 16384> buffer;
+// --- Reading
+
+void StreamServer::on_readable(Connection& connection) {
+  std::array<char, kReadBufferBytes> buffer;
   try {
-    const auto got = net::read_now(guest.socket, buffer);
-    if (!got) return;
-    if (*got == 0) return end(guest.key);
-    guest.reader.append({buffer.data(), *got});
-    while (understand(guest)) {
-    }
+    const auto size = net::read_now(connection.socket, buffer);
+    if (!size) return;
+    if (*size == 0) return close_connection(connection.key);
+    connection.reader.append({buffer.data(), *size});
+    bool may_have_more = true;
+    while (may_have_more) may_have_more = dispatch_message(connection);
   } catch (const resp::ProtocolError& error) {
-    refuse(guest, error.what());
+    reject(connection, error.what());
   } catch (const net::Error&) {
-    end(guest.key);
+    close_connection(connection.key);
   }
 }
 
-// One message; false if none is whole, or it was the guest's last.
-bool StreamServer::understand(Connection& guest) {
-  const auto words = guest.reader.next();
+// One message; false if none is complete, or it was the connection's last: the connection is gone then.
+bool StreamServer::dispatch_message(Connection& connection) {
+  const auto words = connection.reader.next();
   if (!words) return false;
-  ConnectionMessageHandler ear(*this, guest);
+  ConnectionMessageHandler handler(*this, connection);
   try {
-    parse_message(*words, vocabulary_, guest.party, guest.proxy, ear);
-  } catch (const MessageError& spoilt) {
-    if (guest.party == PeerRole::unidentified) {
-      refuse(guest, spoilt.what());
+    parse_message(*words, names_, connection.peer, handler);
+  } catch (const MessageError& error) {
+    if (connection.peer.role == PeerRole::unidentified) {
+      reject(connection, error.what());
       return false;
     }
-    sink_.log_peer_error("a message was dropped: " + std::string(spoilt.what()) + shown(*words));
+    handler_.log_peer_error("a message was dropped: " + std::string(error.what()) + printable(*words));
   }
   return true;
 }
 
-void StreamServer::refuse(Connection& guest, const std::string& why) {
-  if (guest.party == PeerRole::unidentified) {
+void StreamServer::reject(Connection& connection, const std::string& reason) {
+  if (connection.peer.role == PeerRole::unidentified) {
     std::string error;
-    resp::write_message(error, {"error", "why", why});
-    write(guest, error);
+    resp::write_message(error, {"error", "why", reason});
+    write(connection, error);
   }
-  sink_.log_peer_error("a connection was ended: " + why);
-  end(guest.key);
-}
-
-void StreamServer::end(std::uint64_t key) {
-  const auto guest = guests_.find(key);
-  if (guest == guests_.end()) return;
-  const auto proxy = guest->second.proxy;
-  poller_.remove(guest->second.socket.get());
-  strangers_.erase(key);
-  guests_.erase(guest);
-  if (!proxy) return;
-  const auto joined = joined_.find(*proxy);
-  if (joined == joined_.end() || joined->second != key) return;
-  joined_.erase(joined);
-  sink_.on_proxy_left(*proxy);
+  handler_.log_peer_error("a connection was ended: " + reason);
+  close_connection(connection.key);
 }
 
-void StreamServer::end_old_strangers() {
-  const auto now = net::Steady::now();
-  while (!strangers_.empty()) {
-    const auto oldest = *strangers_.begin();
-    if (now < guests_.at(oldest).since + kToJoin) return;
-    if (is_still_strange(oldest)) refuse(guests_.at(oldest), "it did not join in time");
-  }
-}
+// --- Writing
 
-void StreamServer::write_due() {
-  for (const auto proxy : sink_.due_proxies()) {
-    const auto joined = joined_.find(proxy);
-    if (joined == joined_.end()) continue;
-    auto& guest = guests_.at(joined->second);
-    // Whoever has not taken the last message gets one later, of all that stands then.
-    if (!guest.out.empty()) continue;
-    if (!write(guest, sink_.next_message(proxy))) end(guest.key);
+void StreamServer::write_due_messages() {
+  for (const auto proxy : handler_.due_proxies()) {
+    const auto stream = proxy_streams_.find(proxy);
+    if (stream == proxy_streams_.end()) continue;
+    auto& connection = connections_.at(stream->second);
+    // A proxy that has not taken the last message gets one later, with all that is published by then.
+    if (!connection.unsent.empty()) continue;
+    if (!write(connection, handler_.next_message(proxy))) close_connection(connection.key);
   }
 }
 
-bool StreamServer::write(Connection& guest, std::string_view bytes) {
-  guest.out += bytes;
+// Writes as much as the system takes now; the rest waits. False if the stream broke.
+bool StreamServer::write(Connection& connection, std::string_view bytes) {
+  connection.unsent += bytes;
   try {
-    guest.out.erase(0, net::write_now(guest.socket, guest.out));
-    const bool waits = !guest.out.empty();
-    if (waits != guest.waits_for_room) poller_.set_write_interest(guest.socket.get(), guest.key, waits);
-    guest.waits_for_room = waits;
+    connection.unsent.erase(0, net::write_now(connection.socket, connection.unsent));
+    const bool has_rest = !connection.unsent.empty();
+    if (has_rest != connection.has_write_interest)
+      poller_.set_write_interest(connection.socket.get(), connection.key, has_rest);
+    connection.has_write_interest = has_rest;
     return true;
   } catch (const net::Error&) {
     return false;
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -143,8 +143,8 @@
     at = end + 1;
   }
   try {
-    parse_message({words.begin(), words.end()}, vocabulary(), from,
-                  from == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt, heard);
+    const auto proxy = from == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt;
+    parse_message({words.begin(), words.end()}, vocabulary(), {from, proxy}, heard);
   } catch (const MessageError&) {
     return heard.all.empty() ? "spoilt" : "spoilt, but told";
   }
