--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -1,262 +1,251 @@
 #include "platform/table_update_encoder.h"
 
 #include <algorithm>
-#include <cstdio>
-
-#include "resp/resp.h"
+#include <cstddef>
+#include <cstdint>
+#include <iterator>
+#include <memory>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "platform/table_push.h"
+#include "policy/controller.h"
+#include "routing_state/routing_snapshot.h"
 
 namespace ospreypost::platform {
 namespace {
 
-constexpr std::size_t kMostLines = 4000;  // of one part: far below 1 MiB, whatever the names
-
-// Short, and never in a form with an exponent, which not every reader takes.
-std::string figure(double value) {
-  char text[32];
-  std::snprintf(text, sizeof(text), "%.5f", std::max(value, 1e-5));
-  std::string short_text(text);
-  short_text.erase(short_text.find_last_not_of('0') + 1);
-  if (short_text.back() == '.') short_text.pop_back();
-  return short_text;
+using routing_state::RoutingTable;
+using routing_state::TableEntry;
+using Entries = std::vector<TableEntry>;  // by ascending replica
+
+// The changes that turn the one into the other.
+std::vector<WeightChange> differences(const Entries& written, const Entries& published) {
+  std::vector<WeightChange> changes;
+  auto old = written.begin();
+  for (const auto& entry : published) {
+    for (; old != written.end() && old->replica < entry.replica; ++old) changes.push_back({old->replica, 0});
+    const bool was_written = old != written.end() && old->replica == entry.replica;
+    if (!was_written || old->weight != entry.weight) changes.push_back({entry.replica, entry.weight});
+    if (was_written) ++old;
+  }
+  for (; old != written.end(); ++old) changes.push_back({old->replica, 0});
+  return changes;
 }
 
-using Lines = std::vector<routing_state::TableEntry>;  // by ascending replica
+const Entries& entries_of(const std::shared_ptr<const RoutingTable>& table) {
+  static const Entries no_entries;
+  return table ? table->lines : no_entries;
+}
 
-// What turns the one into the other; weight 0 takes a line out.
-std::vector<std::pair<ReplicaId, double>> differences(const Lines& held, const Lines& wanted) {
-  std::vector<std::pair<ReplicaId, double>> found;
-  auto old = held.begin();
-  for (const auto& line : wanted) {
-    for (; old != held.end() && old->replica < line.replica; ++old) found.emplace_back(old->replica, 0.0);
-    const bool held_already = old != held.end() && old->replica == line.replica;
-    if (!held_already || old->weight != line.weight) found.emplace_back(line.replica, line.weight);
-    if (held_already) ++old;
-  }
-  for (; old != held.end(); ++old) found.emplace_back(old->replica, 0.0);
-  return found;
+bool have_same_entries(const std::shared_ptr<const RoutingTable>& one,
+                       const std::shared_ptr<const RoutingTable>& other) {
+  return one == other || entries_of(one) == entries_of(other);
 }
 
-const Lines& lines_of(const std::shared_ptr<const routing_state::RoutingTable>& view) {
-  static const Lines none;
-  return view ? view->lines : none;
+bool has_entry(const RoutingTable& table, ReplicaId replica) {
+  const auto entry =
+      std::lower_bound(table.lines.begin(), table.lines.end(), replica,
+                       [](const TableEntry& one, ReplicaId wanted) { return one.replica < wanted; });
+  return entry != table.lines.end() && entry->replica == replica;
 }
 
-bool have_same_lines(const std::shared_ptr<const routing_state::RoutingTable>& a,
-                     const std::shared_ptr<const routing_state::RoutingTable>& b) {
-  return a == b || lines_of(a) == lines_of(b);
+// Where the entries of just these classes go, their policy goes along.
+void add_policy(TablePush policy_push, std::vector<TablePush>& pushes) {
+  const auto companion = std::find_if(pushes.begin(), pushes.end(), [&](const TablePush& push) {
+    return !push.policy && push.classes == policy_push.classes;
+  });
+  if (companion == pushes.end()) {
+    pushes.push_back(std::move(policy_push));
+  } else {
+    companion->policy = policy_push.policy;
+  }
 }
 
 }  // namespace
 
-TableUpdateEncoder::TableUpdateEncoder(std::vector<std::string> classes, RetryMode usual)
-    : classes_(std::move(classes)), usual_{1, usual} {}
+TableUpdateEncoder::TableUpdateEncoder(std::vector<std::string> class_names, RetryMode default_retry)
+    : class_names_(std::move(class_names)), default_policy_{1, default_retry} {}
 
-void TableUpdateEncoder::on_proxy_joined(ProxyId id) {
-  auto& proxy = proxies_[id];
-  proxy = {};
-  proxy.written.assign(classes_.size(), Table{false, nullptr, usual_});
-  due_.erase(id);
+void TableUpdateEncoder::on_proxy_joined(ProxyId proxy) {
+  auto& stream = streams_[proxy];
+  stream = {};
+  stream.written.assign(class_names_.size(), WrittenTable{false, nullptr, default_policy_});
+  due_.erase(proxy);
 }
 
-void TableUpdateEncoder::on_proxy_left(ProxyId id) {
-  proxies_.erase(id);
-  due_.erase(id);
+void TableUpdateEncoder::on_proxy_left(ProxyId proxy) {
+  streams_.erase(proxy);
+  due_.erase(proxy);
 }
 
-void TableUpdateEncoder::on_published(ProxyId id,
-                                      std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot) {
-  const auto known = proxies_.find(id);
-  if (known == proxies_.end() || !proxy_snapshot) return;
-  known->second.wanted = std::move(proxy_snapshot);
-  known->second.shed.clear();
-  due_.insert(id);
+void TableUpdateEncoder::on_published(ProxyId proxy,
+                                      std::shared_ptr<const routing_state::ProxySnapshot> snapshot) {
+  const auto known = streams_.find(proxy);
+  if (known == streams_.end() || !snapshot) return;
+  known->second.published = std::move(snapshot);
+  known->second.replicas_to_drop.clear();
+  due_.insert(proxy);
 }
 
 void TableUpdateEncoder::drop_replicas(const std::vector<ReplicaId>& replicas) {
-  for (auto& [id, proxy] : proxies_) {
-    if (proxy.wanted || replicas.empty()) continue;
+  if (replicas.empty()) return;
+  for (auto& [proxy, stream] : streams_) {
+    if (stream.published) continue;
+    auto& to_drop = stream.replicas_to_drop;
     for (const auto replica : replicas) {
-      if (std::find(proxy.shed.begin(), proxy.shed.end(), replica) == proxy.shed.end())
-        proxy.shed.push_back(replica);
+      if (std::find(to_drop.begin(), to_drop.end(), replica) == to_drop.end()) to_drop.push_back(replica);
     }
-    due_.insert(id);
+    due_.insert(proxy);
   }
 }
 
-void TableUpdateEncoder::request_acknowledgement(ProxyId id, AckRequestId mark, bool alone) {
-  const auto known = proxies_.find(id);
-  if (known == proxies_.end()) return;
-  known->second.marks.push_back(mark);
-  known->second.asks_alone = known->second.asks_alone || alone;
-  due_.insert(id);
+void TableUpdateEncoder::request_acknowledgement(ProxyId proxy, AckRequestId request, bool even_alone) {
+  const auto known = streams_.find(proxy);
+  if (known == streams_.end()) return;
+  known->second.new_requests.push_back(request);
+  known->second.must_request = known->second.must_request || even_alone;
+  due_.insert(proxy);
 }
 
-// Classes that hold the same and are to hold the same share a part.
-void TableUpdateEncoder::settle_lines(Proxy& proxy, std::vector<Part>& parts) const {
-  std::vector<bool> done(classes_.size());
-  for (std::size_t k = 0; k < classes_.size(); ++k) {
-    const auto view = proxy.wanted->routing_tables[k];
-    if (done[k] || !view) continue;
-    const auto before = proxy.written[k];
-    Part part;
-    for (std::size_t other = k; other < classes_.size(); ++other) {
-      const auto& written = proxy.written[other];
-      const auto& theirs = proxy.wanted->routing_tables[other];
-      const bool alike = theirs && have_same_lines(theirs, view) && written.ours == before.ours &&
-                         have_same_lines(written.view, before.view);
-      if (!alike) continue;
-      part.classes.push_back(other);
-      done[other] = true;
-    }
-    part.full = !before.ours;
-    part.lines = differences(part.full ? Lines{} : lines_of(before.view), view->lines);
-    for (const auto other : part.classes) {
-      auto& written = proxy.written[other];
-      // A whole table brings its classes back to the usual levels.
-      if (part.full) written.terms = usual_;
-      written.ours = true;
-      written.view = view;
-    }
-    if (part.full || !part.lines.empty()) parts.push_back(std::move(part));
+TableUpdateMessage TableUpdateEncoder::next_message(ProxyId proxy, const EndpointNames& name_of) {
+  due_.erase(proxy);
+  const auto known = streams_.find(proxy);
+  if (known == streams_.end()) return {};
+  auto& stream = known->second;
+  auto pushes = take_pushes(stream);
+  const bool nothing_to_push = pushes.empty();
+  if (nothing_to_push && !stream.must_request) stream.new_requests.clear();
+  stream.must_request = false;
+  if (nothing_to_push && stream.new_requests.empty()) return {};
+  if (nothing_to_push) pushes.emplace_back();  // carries the request
+
+  TablePushEncoder encoder(class_names_, name_of);
+  for (const auto& push : pushes) encoder.add(push);
+  if (!stream.new_requests.empty()) {
+    ++last_nonce_;
+    encoder.request_acknowledgement(last_nonce_);
+    stream.pending.push_back({last_nonce_, std::exchange(stream.new_requests, {})});
   }
+  return encoder.finish();
 }
 
-void TableUpdateEncoder::settle_terms(Proxy& proxy, std::vector<Part>& parts) const {
-  std::vector<bool> done(classes_.size());
-  const auto differs = [&](std::size_t k) {
-    return !done[k] && proxy.wanted->routing_tables[k] &&
-           proxy.wanted->routing_tables[k]->terms[k] != proxy.written[k].terms;
-  };
-  for (std::size_t k = 0; k < classes_.size(); ++k) {
-    if (!differs(k)) continue;
-    Part part;
-    part.terms = &proxy.wanted->routing_tables[k]->terms[k];
-    for (std::size_t other = k; other < classes_.size(); ++other) {
-      if (!differs(other) || proxy.wanted->routing_tables[other]->terms[other] != *part.terms) continue;
-      part.classes.push_back(other);
-      done[other] = true;
-    }
-    for (const auto other : part.classes) proxy.written[other].terms = *part.terms;
-    // Where the lines of just these classes go, their level goes along.
-    const auto with = std::find_if(parts.begin(), parts.end(), [&](const Part& given) {
-      return !given.terms && given.classes == part.classes;
-    });
-    with == parts.end() ? parts.push_back(std::move(part)) : void(with->terms = part.terms);
+// What is to be written; it counts as written from then on.
+std::vector<TablePush> TableUpdateEncoder::take_pushes(ProxyStream& stream) const {
+  std::vector<TablePush> pushes;
+  if (stream.published) {
+    push_entries(stream, pushes);
+    push_policies(stream, pushes);
+  } else if (!stream.replicas_to_drop.empty()) {
+    pushes.push_back(take_dropped_replicas(stream));
   }
+  return pushes;
 }
 
-std::string TableUpdateEncoder::routes(const std::vector<std::size_t>& classes) const {
-  std::string names;
-  for (const auto k : classes) {
-    if (!names.empty()) names += '+';
-    names += classes_[k];
+// Classes that have the same entries and are to have the same ones share a push.
+void TableUpdateEncoder::push_entries(ProxyStream& stream, std::vector<TablePush>& pushes) const {
+  std::vector<bool> done(class_names_.size());
+  for (std::size_t cls = 0; cls < class_names_.size(); ++cls) {
+    const auto& table = stream.published->routing_tables[cls];
+    if (done[cls] || !table) continue;
+    TablePush push;
+    push.classes = classes_alike(stream, cls);
+    push.complete = !stream.written[cls].is_from_here;
+    push.changes =
+        differences(push.complete ? Entries{} : entries_of(stream.written[cls].table), table->lines);
+    for (const auto member : push.classes) {
+      auto& written = stream.written[member];
+      // A complete table brings its classes back to the default policy.
+      if (push.complete) written.policy = default_policy_;
+      written.is_from_here = true;
+      written.table = table;
+      done[member] = true;
+    }
+    if (push.complete || !push.changes.empty()) pushes.push_back(std::move(push));
   }
-  return names;
 }
 
-TableUpdateEncoder::Message TableUpdateEncoder::next_message(
-    ProxyId id, const std::function<std::string_view(ReplicaId)>& name_of) {
-  Message message;
-  due_.erase(id);
-  const auto known = proxies_.find(id);
-  if (known == proxies_.end()) return message;
-  auto& proxy = known->second;
-  std::vector<Part> parts;
-  if (proxy.wanted) {
-    settle_lines(proxy, parts);
-    settle_terms(proxy, parts);
-  } else if (!proxy.shed.empty()) {
-    Part part;
-    for (std::size_t k = 0; k < classes_.size(); ++k) part.classes.push_back(k);
-    for (const auto replica : proxy.shed) part.lines.emplace_back(replica, 0.0);
-    proxy.shed.clear();
-    parts.push_back(std::move(part));
+// The class, and those after it with the same entries as written and as published.
+std::vector<std::size_t> TableUpdateEncoder::classes_alike(const ProxyStream& stream,
+                                                           std::size_t first) const {
+  const auto& published = stream.published->routing_tables;
+  const auto& first_written = stream.written[first];
+  std::vector<std::size_t> alike;
+  for (std::size_t cls = first; cls < class_names_.size(); ++cls) {
+    const auto& written = stream.written[cls];
+    const bool same_published = published[cls] && have_same_entries(published[cls], published[first]);
+    const bool same_written = written.is_from_here == first_written.is_from_here &&
+                              have_same_entries(written.table, first_written.table);
+    if (same_published && same_written) alike.push_back(cls);
   }
-  if (parts.empty() && !proxy.asks_alone) proxy.marks.clear();
-  proxy.asks_alone = false;
-  if (parts.empty() && proxy.marks.empty()) return message;
-  if (parts.empty()) parts.emplace_back();
+  return alike;
+}
 
-  std::vector<std::vector<std::string>> pushes;
-  for (const auto& part : parts) {
-    std::size_t at = 0;
-    do {
-      std::vector<std::string> words{"push"};
-      const auto field = [&](const char* name, std::string value) {
-        words.emplace_back(name);
-        words.push_back(std::move(value));
-      };
-      if (!part.classes.empty() && part.classes.size() < classes_.size())
-        field("routes", routes(part.classes));
-      if (part.full && at == 0) field("full", "1"), ++message.entries;
-      const auto end = std::min(part.lines.size(), at + kMostLines);
-      std::string lines;
-      for (; at < end; ++at) {
-        const auto& [replica, weight] = part.lines[at];
-        const auto name = name_of(replica);
-        // A proxy breaks with whoever names what discovery never listed.
-        if (name.empty()) continue;
-        ++message.entries;
-        lines += lines.empty() ? "" : ",";
-        lines += name;
-        lines += ':';
-        lines += weight > 0 ? figure(weight) : "0";
-      }
-      if (!lines.empty()) field("endpoints", std::move(lines));
-      if (part.terms && at == part.lines.size()) {
-        field("admit", part.terms->level > 0 ? figure(part.terms->level) : "0");
-        field("policy", std::to_string(static_cast<int>(part.terms->retry)));
-        message.entries += part.classes.size();
-      }
-      pushes.push_back(std::move(words));
-    } while (at < part.lines.size());
-  }
-  if (!proxy.marks.empty()) {
-    ++message.entries;
-    pushes.back().insert(pushes.back().end(), {"nonce_out", std::to_string(++last_nonce_)});
-    proxy.asked.emplace_back(last_nonce_, std::exchange(proxy.marks, {}));
-  }
-  for (std::size_t n = 0; n < pushes.size(); ++n) {
-    if (n + 1 < pushes.size()) pushes[n].insert(pushes[n].end(), {"continued", "1"});
-    resp::write_message(message.bytes, {pushes[n].begin(), pushes[n].end()});
+void TableUpdateEncoder::push_policies(ProxyStream& stream, std::vector<TablePush>& pushes) const {
+  const auto& published = stream.published->routing_tables;
+  const auto differs = [&](std::size_t cls) {
+    return published[cls] && published[cls]->terms[cls] != stream.written[cls].policy;
+  };
+  for (std::size_t cls = 0; cls < class_names_.size(); ++cls) {
+    if (!differs(cls)) continue;
+    const auto policy = published[cls]->terms[cls];
+    TablePush push;
+    push.policy = policy;
+    for (std::size_t other = cls; other < class_names_.size(); ++other) {
+      if (!differs(other) || published[other]->terms[other] != policy) continue;
+      push.classes.push_back(other);
+      stream.written[other].policy = policy;
+    }
+    add_policy(std::move(push), pushes);
   }
-  return message;
 }
 
-std::vector<AckRequestId> TableUpdateEncoder::on_acknowledgement(ProxyId id, std::uint64_t nonce) {
+TablePush TableUpdateEncoder::take_dropped_replicas(ProxyStream& stream) const {
+  TablePush push;
+  for (std::size_t cls = 0; cls < class_names_.size(); ++cls) push.classes.push_back(cls);
+  for (const auto replica : stream.replicas_to_drop) push.changes.push_back({replica, 0});
+  stream.replicas_to_drop.clear();
+  return push;
+}
+
+std::vector<AckRequestId> TableUpdateEncoder::on_acknowledgement(ProxyId proxy, std::uint64_t nonce) {
   std::vector<AckRequestId> settled;
-  const auto known = proxies_.find(id);
-  if (known == proxies_.end()) return settled;
-  auto& asked = known->second.asked;
-  const bool ours = std::any_of(asked.begin(), asked.end(), [&](auto& a) { return a.first == nonce; });
-  while (ours && !asked.empty() && asked.front().first <= nonce) {
-    settled.insert(settled.end(), asked.front().second.begin(), asked.front().second.end());
-    asked.erase(asked.begin());
-  }
+  const auto known = streams_.find(proxy);
+  if (known == streams_.end()) return settled;
+  auto& pending = known->second.pending;
+  const auto answered = std::find_if(pending.begin(), pending.end(),
+                                     [&](const PendingAcknowledgement& one) { return one.nonce == nonce; });
+  if (answered == pending.end()) return settled;
+  const auto settled_end = std::next(answered);  // nonces ascend
+  for (auto one = pending.begin(); one != settled_end; ++one)
+    settled.insert(settled.end(), one->requests.begin(), one->requests.end());
+  pending.erase(pending.begin(), settled_end);
   return settled;
 }
 
 std::vector<ReplicaId> TableUpdateEncoder::unused_replicas(const std::vector<ReplicaId>& replicas) const {
   if (replicas.empty()) return {};
-  std::set<const routing_state::RoutingTable*> routing_tables;
-  for (const auto& [id, proxy] : proxies_) {
-    for (const auto& table : proxy.written) routing_tables.insert(table.view.get());
-    if (!proxy.wanted) continue;
-    for (const auto& view : proxy.wanted->routing_tables) routing_tables.insert(view.get());
-  }
-  routing_tables.erase(nullptr);
-  std::vector<ReplicaId> found;
+  const auto tables = tables_in_use();
+  std::vector<ReplicaId> unused;
   for (const auto replica : replicas) {
-    const bool held = std::any_of(
-        routing_tables.begin(), routing_tables.end(), [&](const routing_state::RoutingTable* view) {
-          const auto line = std::lower_bound(
-              view->lines.begin(), view->lines.end(), replica,
-              [](const routing_state::TableEntry& one, ReplicaId id) { return one.replica < id; });
-          return line != view->lines.end() && line->replica == replica;
-        });
-    if (!held) found.push_back(replica);
+    const bool used = std::any_of(tables.begin(), tables.end(),
+                                  [&](const RoutingTable* table) { return has_entry(*table, replica); });
+    if (!used) unused.push_back(replica);
+  }
+  return unused;
+}
+
+std::set<const RoutingTable*> TableUpdateEncoder::tables_in_use() const {
+  std::set<const RoutingTable*> tables;
+  for (const auto& [proxy, stream] : streams_) {
+    for (const auto& written : stream.written) tables.insert(written.table.get());
+    if (!stream.published) continue;
+    for (const auto& table : stream.published->routing_tables) tables.insert(table.get());
   }
-  return found;
+  tables.erase(nullptr);
+  return tables;
 }
 
 }  // namespace ospreypost::platform
