--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -1,12 +1,22 @@
 #include "platform/platform_config.h"
 
+#include <array>
 #include <charconv>
 #include <cmath>
+#include <cstddef>
+#include <cstdint>
 #include <fstream>
-#include <iterator>
+#include <ios>
 #include <nlohmann/json.hpp>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <utility>
+#include <vector>
 
 #include "config/xml.h"
+#include "net/socket.h"
+#include "policy/controller.h"
 #include "simulator/codec.h"
 #include "simulator/settings.h"
 
@@ -15,11 +25,17 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostBytes = std::size_t{8} << 20;
+constexpr std::size_t kMaxConfigBytes = std::size_t{8} << 20;
+constexpr std::size_t kReadBufferBytes = 16384;
+constexpr std::size_t kMinDescriptors = 64;
+constexpr double kMaxBatchIntervalSeconds = 60;
+constexpr double kNanosPerSecond = 1e9;
+constexpr int kMaxRetryMode = 3;
 
-class Fields {
+// Reads the fields of an object, and names them in errors.
+class ObjectReader {
  public:
-  Fields(const json& object, std::string where) : object_(object), where_(std::move(where)) {
+  ObjectReader(const json& object, std::string where) : object_(object), where_(std::move(where)) {
     if (!object.is_object()) fail("", "is no object");
   }
   const json& at(const char* field) const {
@@ -32,128 +48,170 @@
     if (!at(field).is_string()) fail(field, "is no text");
     return at(field).get<std::string>();
   }
-  net::Address address(const char* field) const {
-    try {
-      return net::Address::parse(text(field));
-    } catch (const net::Error& error) {
-      fail(field, error.what());
+  net::Address address(const char* field) const { return parse_address(field, text(field)); }
+  std::vector<net::Address> addresses(const char* field) const {
+    std::vector<net::Address> parsed;
+    for (const auto& text : names(field, at(field))) parsed.push_back(parse_address(field, text));
+    return parsed;
+  }
+  // The items of a list, which are names or objects that have one.
+  std::vector<std::string> names(const char* field, const json& list) const {
+    std::vector<std::string> found;
+    if (!list.is_array()) fail(field, "is no list");
+    for (const auto& item : list) {
+      const auto& name = item.is_object() && item.contains("name") ? item["name"] : item;
+      if (!name.is_string()) fail(field, "holds what is no name");
+      found.push_back(name.get<std::string>());
     }
+    return found;
   }
   [[noreturn]] void fail(const std::string& field, const std::string& what) const {
     throw config::ConfigError(where_ + ": " + (field.empty() ? "it" : field) + " " + what);
   }
 
  private:
+  net::Address parse_address(const char* field, const std::string& text) const {
+    try {
+      return net::Address::parse(text);
+    } catch (const net::Error& error) {
+      fail(field, error.what());
+    }
+  }
+
   const json& object_;
-  std::string where_;
+  const std::string where_;
 };
 
-// Nested settings as the path=value lines that the simulator's first message has, so that both doors derive
-// them by the same code.
-void flatten(const json& value, const std::string& path, std::string& lines) {
-  const auto under = [&](const std::string& key) { return path.empty() ? key : path + "." + key; };
-  const auto plain = [](const json& item) {
-    return item.is_string() ? item.get<std::string>() : item.dump();
-  };
-  if (value.is_object()) {
-    for (const auto& [key, item] : value.items()) flatten(item, under(key), lines);
-    return;
-  }
-  if (!value.is_array()) {
-    if (!value.is_null()) lines += path + "=" + plain(value) + "\n";
+std::string scalar_text(const json& value) {
+  return value.is_string() ? value.get<std::string>() : value.dump();
+}
+
+std::string path_below(const std::string& path, const std::string& key) {
+  return path.empty() ? key : path + "." + key;
+}
+
+void flatten(const json& value, const std::string& path, std::string& lines);
+
+void flatten_list(const json& list, const std::string& path, std::string& lines) {
+  const bool holds_objects = !list.empty() && list.front().is_object();
+  if (holds_objects) {
+    lines += path + ".count=" + std::to_string(list.size()) + "\n";
+    for (std::size_t n = 0; n < list.size(); ++n)
+      flatten(list[n], path_below(path, std::to_string(n)), lines);
     return;
   }
-  const bool of_objects = !value.empty() && value.front().is_object();
-  if (of_objects) lines += path + ".count=" + std::to_string(value.size()) + "\n";
   std::string items;
-  for (std::size_t n = 0; n < value.size(); ++n) {
-    if (of_objects) flatten(value[n], under(std::to_string(n)), lines);
-    if (!of_objects) items += (n > 0 ? "," : "") + plain(value[n]);
-  }
-  if (!of_objects) lines += path + "=" + items + "\n";
-}
-
-std::vector<std::string> names_of(const Fields& fields, const json& list, const char* field) {
-  std::vector<std::string> names;
-  if (!list.is_array()) fields.fail(field, "is no list");
   for (const auto& item : list) {
-    const auto& name = item.is_object() && item.contains("name") ? item["name"] : item;
-    if (!name.is_string()) fields.fail(field, "holds what is no name");
-    names.push_back(name.get<std::string>());
+    if (&item != &list.front()) items += ',';
+    items += scalar_text(item);
   }
-  return names;
+  lines += path + "=" + items + "\n";
 }
 
-RetryMode retry_of(const Fields& fields, int number) {
-  if (number < 0 || number > 3) fields.fail("settings.family-info.default-retry", "is none of 0 to 3");
-  return static_cast<RetryMode>(number);
+// Writes nested settings as the path=value lines that the simulator's first message has, so that both
+// programs derive them by the same code.
+void flatten(const json& value, const std::string& path, std::string& lines) {
+  if (value.is_object()) {
+    for (const auto& [key, item] : value.items()) flatten(item, path_below(path, key), lines);
+    return;
+  }
+  if (value.is_array()) return flatten_list(value, path, lines);
+  if (!value.is_null()) lines += path + "=" + scalar_text(value) + "\n";
 }
 
-}  // namespace
-
-PlatformConfig parse_platform_config(std::string_view text, const std::string& where) {
-  json document;
+json parse_document(std::string_view text, const std::string& where) {
   try {
-    document = json::parse(text);
+    return json::parse(text);
   } catch (const json::exception& error) {
     throw config::ConfigError(where + ": no JSON: " + error.what());
   }
-  const Fields fields(document, where);
-  PlatformConfig read;
-  read.name = fields.text("name");
-  read.listen = fields.address("listen");
-  read.discovery = fields.address("discovery");
-  const auto seed = fields.text("seed");
-  const auto seen = std::from_chars(seed.data(), seed.data() + seed.size(), read.seed, 16);
-  if (seen.ec != std::errc{} || seen.ptr != seed.data() + seed.size())
-    fields.fail("seed", "is no hexadecimal number of 64 bits");
-  const Fields limits(fields.at("limits"), where + ": limits");
-  if (!limits.at("sockets").is_number_unsigned() || limits.at("sockets").get<std::size_t>() < 64)
+}
+
+std::uint64_t parse_seed(const ObjectReader& document) {
+  const auto text = document.text("seed");
+  const char* const end = text.data() + text.size();
+  std::uint64_t seed = 0;
+  const auto parsed = std::from_chars(text.data(), end, seed, 16);
+  if (parsed.ec != std::errc{} || parsed.ptr != end)
+    document.fail("seed", "is no hexadecimal number of 64 bits");
+  return seed;
+}
+
+std::size_t parse_max_descriptors(const ObjectReader& document, const std::string& where) {
+  const ObjectReader limits(document.at("limits"), where + ": limits");
+  const auto& sockets = limits.at("sockets");
+  if (!sockets.is_number_unsigned() || sockets.get<std::size_t>() < kMinDescriptors)
     limits.fail("sockets", "is no number of at least 64");
-  read.max_descriptors = limits.at("sockets").get<std::size_t>();
-  if (fields.has("peer_listen") && fields.has("peers")) {
-    read.peer_listen = fields.address("peer_listen");
-    for (const auto& peer : names_of(fields, fields.at("peers"), "peers")) {
-      try {
-        read.peers.push_back(net::Address::parse(peer));
-      } catch (const net::Error& error) {
-        fields.fail("peers", error.what());
-      }
-    }
-    if (fields.has("peers_all")) read.all_peers = fields.address("peers_all");
-  }
-  const auto& nested = fields.at("settings");
-  const Fields settings(nested, where + ": settings");
-  std::string lines;
+  return sockets.get<std::size_t>();
+}
+
+void parse_peers(const ObjectReader& document, PlatformConfig& config) {
+  if (!document.has("peer_listen") || !document.has("peers")) return;
+  config.peer_listen = document.address("peer_listen");
+  config.peers = document.addresses("peers");
+  if (document.has("peers_all")) config.all_peers = document.address("peers_all");
+}
+
+RetryMode parse_default_retry(const ObjectReader& settings, const json& nested) {
+  const int number = nested.at("family-info").at("default-retry").get<int>();
+  if (number < 0 || number > kMaxRetryMode)
+    settings.fail("settings.family-info.default-retry", "is none of 0 to 3");
+  return static_cast<RetryMode>(number);
+}
+
+Nanos parse_min_batch_interval(const ObjectReader& settings, const json& nested) {
+  const double seconds = nested.at("quantum-s").get<double>();
+  const bool in_range = seconds >= 0 && seconds < kMaxBatchIntervalSeconds;  // which a NaN is not
+  if (!in_range) settings.fail("quantum-s", "is out of range");
+  return Nanos(std::llround(seconds * kNanosPerSecond));
+}
+
+void parse_settings(const ObjectReader& document, const std::string& where, PlatformConfig& config) {
+  const auto& nested = document.at("settings");
+  const ObjectReader settings(nested, where + ": settings");
   try {
+    std::string lines;
     flatten(nested, "", lines);
-    read.settings = simulator::parse_settings(lines);
-    read.default_retry = retry_of(fields, nested.at("family-info").at("default-retry").get<int>());
-    const double quantum = nested.at("quantum-s").get<double>();
-    if (!(quantum >= 0 && quantum < 60)) settings.fail("quantum-s", "is out of range");
-    read.min_batch_interval = Nanos(std::llround(quantum * 1e9));
-    read.gossip_enabled = !read.peers.empty() && nested.at("allowed").value("peers", false);
-    read.load_columns = names_of(settings, nested.at("report").at("columns"), "report.columns");
+    config.settings = simulator::parse_settings(lines);
+    config.default_retry = parse_default_retry(document, nested);
+    config.min_batch_interval = parse_min_batch_interval(settings, nested);
+    config.gossip_enabled = !config.peers.empty() && nested.at("allowed").value("peers", false);
+    config.load_columns = settings.names("report.columns", nested.at("report").at("columns"));
   } catch (const simulator::ProtocolError& error) {
     throw config::ConfigError(where + ": " + error.what());
   } catch (const json::exception& error) {
     throw config::ConfigError(where + ": settings: " + error.what());
   }
-  read.classes = names_of(settings, settings.at("classes"), "classes");
-  read.zones = names_of(settings, settings.at("azs"), "azs");
-  read.hardware_kinds = names_of(settings, settings.at("skus"), "skus");
-  read.cached_endpoint_list = fields.at("known").dump();
-  return read;
+  config.classes = settings.names("classes", settings.at("classes"));
+  config.zones = settings.names("azs", settings.at("azs"));
+  config.hardware_kinds = settings.names("skus", settings.at("skus"));
+}
+
+}  // namespace
+
+PlatformConfig parse_platform_config(std::string_view text, const std::string& where) {
+  const auto parsed = parse_document(text, where);
+  const ObjectReader document(parsed, where);
+  PlatformConfig config;
+  config.name = document.text("name");
+  config.listen = document.address("listen");
+  config.discovery = document.address("discovery");
+  config.seed = parse_seed(document);
+  config.max_descriptors = parse_max_descriptors(document, where);
+  parse_peers(document, config);
+  parse_settings(document, where, config);
+  config.cached_endpoint_list = document.at("known").dump();
+  return config;
 }
 
 PlatformConfig read_platform_config(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw config::ConfigError(path + ": cannot be read");
   std::string text;
-  char piece[16384];
-  while (file.read(piece, sizeof(piece)) || file.gcount() > 0) {
-    text.append(piece, static_cast<std::size_t>(file.gcount()));
-    if (text.size() > kMostBytes) throw config::ConfigError(path + ": is larger than any configuration");
+  std::array<char, kReadBufferBytes> buffer{};
+  while (file.read(buffer.data(), buffer.size()) || file.gcount() > 0) {
+    text.append(buffer.data(), static_cast<std::size_t>(file.gcount()));
+    if (text.size() > kMaxConfigBytes) throw config::ConfigError(path + ": is larger than any configuration");
   }
   return parse_platform_config(text, path);
 }
