--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -2,286 +2,166 @@
 
 #include <spdlog/spdlog.h>
 
-#include "http/http.h"
+#include <algorithm>
+#include <chrono>
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "control_plane/controller_driver.h"
+#include "discovery/discovery_watcher.h"
+#include "net/threads.h"
+#include "platform/endpoint_list_intake.h"
+#include "platform/gossip_channel.h"
+#include "platform/health_checker.h"
+#include "platform/messages.h"
+#include "platform/platform_config.h"
+#include "platform/stream_event_router.h"
+#include "platform/stream_server.h"
+#include "policy/controller.h"
+#include "record/recording_controller.h"
+#include "routing_state/routing_state.h"
 
 namespace ospreypost::platform {
 namespace {
 
 using namespace std::chrono_literals;
+using control_plane::ControllerDriver;
 
-// One of eight replicas that hang holds a prober for kProbeWithin each; with so many, the others of hundreds
-// are still asked within a round. Each replica waits at most once, so the queue is bounded by the list.
-constexpr std::size_t kProbers = 16, kProbesWaiting = 65536;
-constexpr std::size_t kWordsWaiting = 64;  // to other governors
-constexpr std::size_t kSmallestStack = 64 * 1024;
-constexpr auto kProbeWithin = 500ms;
-// Descriptors for all that is no stream: probes; discovery and what interrupts it, at an address and four
-// that are left; polling, the listener, one just accepted, peers, interrupts, standard streams.
-constexpr std::size_t kOtherDescriptors = kProbers + 24;
-constexpr Nanos kGatherLeast = 2ms;
-constexpr Nanos kLookEvery = 500ms;
-constexpr Nanos kComplainEvery = 5s;
-constexpr std::string_view kHealthPath = "/stats";
+// Descriptors for all that is no stream: health checks; discovery and its cancellation, at one address and
+// four that are being left; polling, the listener, a connection just accepted, gossip, cancellation, standard
+// streams.
+constexpr std::size_t kOtherDescriptors = kMaxConcurrentHealthChecks + 24;
+constexpr std::size_t kMaxWaitingGossipMessages = 64;
+constexpr std::size_t kGossipSenderStackBytes = std::size_t{64} * 1024;
+constexpr Nanos kMinGatherTime = 2ms;
+constexpr Nanos kMaintenanceInterval = 500ms;
+constexpr Nanos kPeerErrorLogInterval = 5s;
 
-Nanos now() { return std::chrono::steady_clock::now().time_since_epoch(); }
-Nanos wall_now() { return std::chrono::system_clock::now().time_since_epoch(); }
+Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
+Nanos unix_now() { return std::chrono::system_clock::now().time_since_epoch(); }
 
 }  // namespace
 
-PlatformServer::PlatformServer(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log)
-    : environment_(environment),
+PlatformServer::PlatformServer(PlatformConfig config, std::shared_ptr<spdlog::logger> log)
+    : config_(std::move(config)),
       log_(std::move(log)),
-      complaints_(log_, kComplainEvery),
-      channel_(environment.classes, environment.default_retry),
-      places_(environment.zones, environment.hardware_kinds, now() - wall_now()) {
-  probers_ = std::make_unique<net::ThreadPool>("prober", kProbers, kProbesWaiting, kSmallestStack);
-  // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
-  // simulator: each message costs its head, and only so many may go to a proxy.
-  const auto gather = std::max(environment_.min_batch_interval, kGatherLeast);
-  driver_ = std::make_unique<control_plane::ControllerDriver>(
-      control_plane::ControllerDriver::Start{environment_.settings, environment_.seed, gather, nullptr, ""},
-      now, static_cast<control_plane::ControllerFrontend&>(*this));
-  std::uint64_t revision = 0;
-  try {
-    const auto known = discovery::parse_endpoint_list_update(environment_.cached_endpoint_list);
-    revision = known.revision;
-    take_list(known, true);
-  } catch (const net::Error& error) {
-    log_peer_error(std::string("no list was known: ") + error.what());
-  }
-  if (environment_.gossip_enabled) {
-    teller_ = std::make_unique<net::ThreadPool>("teller", 1, kWordsWaiting, kSmallestStack);
-    const auto heard = [this](PeerId peer, std::string_view message) {
-      driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-        governor.on_peer_message(at, peer, message);
-      });
-    };
-    peers_ = std::make_unique<GossipChannel>(environment_.peer_listen, environment_.peers,
-                                             environment_.all_peers, heard);
+      peer_errors_(log_, kPeerErrorLogInterval),
+      delivery_(config_, steady_now() - unix_now()) {
+  // Before the driver: the controller may act from its first moment.
+  health_checker_ = make_health_checker();
+  driver_ = make_driver();
+  endpoint_list_intake_ = make_endpoint_list_intake();
+  const auto known_revision = endpoint_list_intake_->apply_cached(config_.cached_endpoint_list);
+  if (config_.gossip_enabled) {
+    gossip_sender_ =
+        std::make_unique<net::ThreadPool>("teller", 1, kMaxWaitingGossipMessages, kGossipSenderStackBytes);
+    gossip_ = make_gossip();
   }
-  MessageNames vocabulary;
-  vocabulary.classes = environment_.classes;
-  vocabulary.zones = environment_.zones;
-  vocabulary.load_columns = environment_.load_columns;
-  vocabulary.proxies = environment_.settings.proxies;
-  vocabulary.find_replica = [this](std::string_view name) {
-    const std::lock_guard held(lock_);
-    return places_.find_id(name);
-  };
-  streams_ =
-      std::make_unique<StreamServer>(environment_.listen, environment_.max_descriptors - kOtherDescriptors,
-                                     std::move(vocabulary), static_cast<StreamEventHandler&>(*this));
-  registry_ = std::make_unique<discovery::DiscoveryWatcher>(
-      environment_.discovery, revision, static_cast<discovery::EndpointListHandler&>(*this));
-  driver_->start([this] { run_maintenance(); }, kLookEvery);
+  stream_events_ = std::make_unique<StreamEventRouter>(*driver_, delivery_, peer_errors_);
+  streams_ = make_streams();
+  discovery_watcher_ = std::make_unique<discovery::DiscoveryWatcher>(config_.discovery, known_revision,
+                                                                     *endpoint_list_intake_);
+  driver_->start([this] { run_maintenance(); }, kMaintenanceInterval);
 }
 
 void PlatformServer::stop() {
   if (stopped_.exchange(true)) return;
-  interrupt_.set();
-  registry_->stop();
+  health_checker_->cancel();
+  discovery_watcher_->stop();
   driver_->stop();
   streams_->stop();
-  probers_->stop();
-  if (teller_) teller_->stop();
-  if (peers_) peers_->stop();
+  health_checker_->stop();
+  if (gossip_sender_) gossip_sender_->stop();
+  if (gossip_) gossip_->stop();
 }
 
-void PlatformServer::reload(const PlatformConfig& environment) {
-  log_->info("configuration read again, discovery at {}", environment.discovery.text());
-  registry_->move_to(environment.discovery);
+void PlatformServer::reload(const PlatformConfig& config) {
+  log_->info("configuration read again, discovery at {}", config.discovery.text());
+  discovery_watcher_->move_to(config.discovery);
 }
 
-// --- Orders
+// --- Parts
 
-void PlatformServer::on_published(Nanos,
-                                  const std::optional<routing_state::RoutingState::Published>& published,
-                                  const std::vector<std::pair<AckRequestId, bool>>& marks) {
-  {
-    const std::lock_guard held(lock_);
-    if (published) {
-      version_ = published->version;
-      for (const auto& pending : published->pending)
-        channel_.on_published(pending.proxy, version_->snapshot_of(pending.proxy));
-    }
-    for (const auto& [mark, reach_all] : marks) {
-      for (const auto proxy : version_->marked(reach_all))
-        channel_.request_acknowledgement(proxy, mark, reach_all);
-    }
-  }
-  if (streams_) streams_->wake();
-}
-
-void PlatformServer::request_health_check(ReplicaId replica) {
-  net::Address at;
-  {
-    const std::lock_guard held(lock_);
-    const auto* place = places_.find_endpoint(replica);
-    if (!place || place->phase == EndpointPhase::gone) return;
-    if (!probed_.insert(replica).second) return;  // the last one still waits for its turn
-    at = place->address;
-  }
-  const bool taken = probers_->take([this, replica, at] { ask_load(replica, at); });
-  if (taken) return;
-  const std::lock_guard held(lock_);
-  probed_.erase(replica);
-}
-
-void PlatformServer::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
-  if (!peers_) return;
-  teller_->take([this, peer, words = std::string(message)] { peers_->send_to_peer(peer, words); });
-}
-
-void PlatformServer::log(std::string_view line) {
-  std::string named;
-  {
-    const std::lock_guard held(lock_);
-    named = control_plane::with_name(line, [this](ReplicaId id) { return name_of(id); });
-  }
-  log_->info("{}", named);
-}
-
-// --- Streams
-
-void PlatformServer::on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) {
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
-    {
-      const std::lock_guard held(lock_);
-      channel_.on_proxy_joined(proxy);
-    }
-    book.remove_proxy(proxy);
-    book.add_proxy(proxy);
-    governor.on_proxy_joined(at, proxy, zone, operations_per_second, fresh);
-  });
-}
-
-void PlatformServer::on_proxy_left(ProxyId proxy) {
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState& book, Nanos at) {
-    governor.on_proxy_left(at, proxy);
-    book.remove_proxy(proxy);
-    const std::lock_guard held(lock_);
-    channel_.on_proxy_left(proxy);
-  });
+std::unique_ptr<HealthChecker> PlatformServer::make_health_checker() {
+  const auto on_result = [this](const HealthCheckResult& result) {
+    driver_->call([&](record::RecordingController& controller, routing_state::RoutingState&, Nanos now) {
+      controller.on_health_check_result(now, result);
+    });
+  };
+  const auto on_error = [this](const std::string& what) { peer_errors_.add(what); };
+  return std::make_unique<HealthChecker>(config_.load_columns, on_result, on_error);
 }
 
-void PlatformServer::on_replica_load_report(const ReplicaLoadReport& sum) {
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-    governor.on_replica_load_report(at, sum, record::Origin{});
-  });
+std::unique_ptr<ControllerDriver> PlatformServer::make_driver() {
+  // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
+  // simulator: each message has its overhead, and only so many may go to a proxy.
+  const auto gather_time = std::max(config_.min_batch_interval, kMinGatherTime);
+  const ControllerDriver::Start start{config_.settings, config_.seed, gather_time, nullptr, ""};
+  return std::make_unique<ControllerDriver>(start, steady_now,
+                                            static_cast<control_plane::ControllerFrontend&>(*this));
 }
 
-void PlatformServer::on_demand_report(ProxyId proxy, const DemandReport& demand) {
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-    governor.on_demand_report(at, demand, record::Origin{proxy, {}});
-  });
+std::unique_ptr<EndpointListIntake> PlatformServer::make_endpoint_list_intake() {
+  const auto wake_streams = [this] {
+    if (streams_) streams_->wake();
+  };
+  return std::make_unique<EndpointListIntake>(EndpointListIntake::Targets{*driver_, delivery_, peer_errors_},
+                                              log_, config_.settings.warm_up_duration, wake_streams);
 }
 
-void PlatformServer::on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) {
-  std::vector<AckRequestId> settled;
-  {
-    const std::lock_guard held(lock_);
-    settled = channel_.on_acknowledgement(proxy, nonce);
-  }
-  for (const auto mark : settled) {
-    driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-      governor.on_acknowledged(at, proxy, mark, took);
+std::unique_ptr<GossipChannel> PlatformServer::make_gossip() {
+  const auto on_message = [this](PeerId peer, std::string_view message) {
+    driver_->call([&](record::RecordingController& controller, routing_state::RoutingState&, Nanos now) {
+      controller.on_peer_message(now, peer, message);
     });
-  }
-}
-
-std::vector<ProxyId> PlatformServer::due_proxies() {
-  const std::lock_guard held(lock_);
-  return {channel_.due_proxies().begin(), channel_.due_proxies().end()};
+  };
+  return std::make_unique<GossipChannel>(config_.peer_listen, config_.peers, config_.all_peers, on_message);
 }
 
-std::string PlatformServer::next_message(ProxyId proxy) {
-  const std::lock_guard held(lock_);
-  return channel_.next_message(proxy, [this](ReplicaId id) { return name_of(id); }).bytes;
+std::unique_ptr<StreamServer> PlatformServer::make_streams() {
+  return std::make_unique<StreamServer>(config_.listen, config_.max_descriptors - kOtherDescriptors,
+                                        make_message_names(), *stream_events_);
 }
 
-// Empty if it was let go or never given. With the lock held.
-std::string_view PlatformServer::name_of(ReplicaId id) const {
-  const auto* place = places_.find_endpoint(id);
-  return place ? std::string_view(place->name) : std::string_view{};
+MessageNames PlatformServer::make_message_names() const {
+  MessageNames names;
+  names.classes = config_.classes;
+  names.zones = config_.zones;
+  names.load_columns = config_.load_columns;
+  names.proxies = config_.settings.proxies;
+  names.find_replica = [this](std::string_view name) { return delivery_.find_replica(name); };
+  return names;
 }
 
-// --- The list, and what is asked of replicas
+// --- The controller's actions, under its lock
 
-void PlatformServer::on_endpoint_list_update(const discovery::EndpointListUpdate& roster) {
-  take_list(roster, false);
-}
-
-void PlatformServer::take_list(const discovery::EndpointListUpdate& roster, bool at_start) {
-  log_list(roster, at_start);
-  std::size_t refused = roster.refused;
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-    EndpointRegistry::Changes taken;
-    {
-      const std::lock_guard held(lock_);
-      taken = places_.apply(roster);
-      channel_.drop_replicas(taken.no_longer_ready);
-    }
-    refused += taken.rejected;
-    const auto kind = at_start                                          ? EndpointListKind::cached
-                      : roster.complete && !taken.must_apply_as_changes ? EndpointListKind::complete
-                                                                        : EndpointListKind::changes;
-    governor.on_endpoint_list(at, kind, taken.updates);
-  });
-  if (refused > 0) log_peer_error("entries of the list that cannot be read");
+void PlatformServer::on_published(Nanos,
+                                  const std::optional<routing_state::RoutingState::Published>& published,
+                                  const std::vector<std::pair<AckRequestId, bool>>& requests) {
+  delivery_.on_published(published, requests);
   if (streams_) streams_->wake();
 }
 
-// At the start a line for all, later one for each change.
-void PlatformServer::log_list(const discovery::EndpointListUpdate& roster, bool at_start) {
-  std::size_t ready = 0, young = 0;
-  for (const auto& member : roster.members) {
-    const bool recent =
-        member.started && wall_now() - *member.started < environment_.settings.warm_up_duration;
-    ready += member.phase == EndpointPhase::ready;
-    young += member.phase == EndpointPhase::ready && recent;
-    const char* phase = member.phase == EndpointPhase::ready      ? (recent ? "ready, cold" : "ready")
-                        : member.phase == EndpointPhase::draining ? "draining"
-                                                                  : "gone";
-    if (!roster.complete) log_->info("list replica={} phase={}", member.name, phase);
-  }
-  if (roster.complete)
-    log_->info("{} list of {}: {} ready, {} of them cold", at_start ? "known" : "whole",
-               roster.members.size(), ready, young);
+void PlatformServer::request_health_check(ReplicaId replica) {
+  if (const auto address = delivery_.address_of(replica)) health_checker_->request(replica, *address);
 }
 
-void PlatformServer::ask_load(ReplicaId replica, const net::Address& at) {
-  HealthCheckResult answer;
-  answer.replica = replica;
-  {
-    const std::lock_guard held(lock_);
-    probed_.erase(replica);
-  }
-  const auto begun = net::Steady::now();
-  try {
-    http::Request request;
-    request.target = kHealthPath;
-    const auto got = http::fetch(at, request, begun + kProbeWithin, &interrupt_);
-    answer.refused = got.status == 503;
-    answer.answered = got.status == 200;
-    if (answer.answered) answer.load = parse_load_report(got.body, environment_.load_columns);
-  } catch (const MessageError& spoilt) {
-    log_peer_error("a load report was dropped: " + std::string(spoilt.what()));
-    answer.answered = false;
-  } catch (const std::exception&) {
-    // No answer is an answer, and told as one.
-  }
-  answer.took = net::Steady::now() - begun;
-  if (stopped_) return;
-  driver_->call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos now) {
-    governor.on_health_check_result(now, answer);
-  });
+void PlatformServer::send_to_peer(std::optional<PeerId> peer, std::string_view message) {
+  if (!gossip_) return;
+  gossip_sender_->take([this, peer, text = std::string(message)] { gossip_->send_to_peer(peer, text); });
 }
 
-// Every so often: what no call may do, as it would wait or take long.
+void PlatformServer::log(std::string_view line) { log_->info("{}", delivery_.with_replica_name(line)); }
+
+// From time to time, without a lock: what no call may do, as it would wait or take long.
 void PlatformServer::run_maintenance() {
-  if (wants_list_.exchange(false)) registry_->look();
-  const std::lock_guard held(lock_);
-  for (const auto id : channel_.unused_replicas(places_.gone_replicas())) places_.release(id);
+  if (list_refresh_requested_.exchange(false)) discovery_watcher_->look();
+  delivery_.release_unused_replicas();
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -1,22 +1,29 @@
-// A governor in service on the platform: streams, discovery and probes round the module's desk.
+/// A control plane instance in service on the platform: the streams, discovery, health checks and gossip
+/// around the controller.
 #pragma once
 
 #include <atomic>
 #include <memory>
-#include <mutex>
-#include <set>
-#include <string>
+#include <optional>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 #include "control_plane/controller_driver.h"
 #include "control_plane/log_lines.h"
 #include "discovery/discovery_watcher.h"
-#include "net/cancellation_event.h"
+#include "net/socket.h"
 #include "net/threads.h"
-#include "platform/endpoint_registry.h"
+#include "platform/endpoint_list_intake.h"
 #include "platform/gossip_channel.h"
+#include "platform/health_checker.h"
+#include "platform/messages.h"
 #include "platform/platform_config.h"
+#include "platform/stream_delivery.h"
+#include "platform/stream_event_router.h"
 #include "platform/stream_server.h"
-#include "platform/table_update_encoder.h"
+#include "policy/controller.h"
+#include "routing_state/routing_state.h"
 
 namespace spdlog {
 class logger;
@@ -24,63 +31,57 @@
 
 namespace ospreypost::platform {
 
-class PlatformServer : private control_plane::ControllerFrontend,
-                       private StreamEventHandler,
-                       private discovery::EndpointListHandler {
+/// Assembles the parts, and carries out the controller's actions.
+///
+/// Lock order: the watcher's lock that keeps lists in their order; then the lock of `ControllerDriver`, which
+/// is held during each call on the controller and so during the actions below; then one of the locks of
+/// `StreamDelivery`, `HealthChecker`, `RateLimitedLogger` or a thread pool, none of which is held while
+/// another lock is taken. The streams' thread holds no lock when it calls its handler.
+class PlatformServer : private control_plane::ControllerFrontend {
  public:
-  // Throws net::Error if an address cannot be had. Serves from then on.
-  PlatformServer(const PlatformConfig& environment, std::shared_ptr<spdlog::logger> log);
+  /// Throws `net::Error` if an address cannot be had. Serves from then on.
+  PlatformServer(PlatformConfig config, std::shared_ptr<spdlog::logger> log);
   ~PlatformServer() override { stop(); }
+  /// Where proxies and collectors connect.
   net::Address address() const { return streams_->address(); }
-  // Takes what may change while it serves: where discovery is.
-  void reload(const PlatformConfig& environment);
+  /// Applies what may change while it serves: the address of discovery.
+  void reload(const PlatformConfig& config);
+  /// Ends all connections and joins all threads.
   void stop();
 
  private:
   void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& marks) override;
+                    const std::vector<std::pair<AckRequestId, bool>>& requests) override;
   void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool) override {}
-  void refresh_endpoint_list() override { wants_list_ = true; }
+  void refresh_endpoint_list() override { list_refresh_requested_ = true; }
   void send_to_peer(std::optional<PeerId> peer, std::string_view message) override;
   void log(std::string_view line) override;
 
-  void on_proxy_joined(ProxyId proxy, ZoneId zone, double operations_per_second, bool fresh) override;
-  void on_proxy_left(ProxyId proxy) override;
-  void on_replica_load_report(const ReplicaLoadReport& sum) override;
-  void on_demand_report(ProxyId proxy, const DemandReport& demand) override;
-  void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos took) override;
-  std::vector<ProxyId> due_proxies() override;
-  std::string next_message(ProxyId proxy) override;
-  std::string_view name_of(ReplicaId id) const;
-  void log_peer_error(const std::string& what) override { complaints_.add(what); }
-
-  void on_endpoint_list_update(const discovery::EndpointListUpdate& roster) override;
-  void on_discovery_silent(const std::string& why) override { log_peer_error("no news of the list: " + why); }
-  void take_list(const discovery::EndpointListUpdate& roster, bool at_start);
-  void log_list(const discovery::EndpointListUpdate& roster, bool at_start);
-
-  void ask_load(ReplicaId replica, const net::Address& at);
+  std::unique_ptr<HealthChecker> make_health_checker();
+  std::unique_ptr<control_plane::ControllerDriver> make_driver();
+  std::unique_ptr<EndpointListIntake> make_endpoint_list_intake();
+  std::unique_ptr<GossipChannel> make_gossip();
+  std::unique_ptr<StreamServer> make_streams();
+  MessageNames make_message_names() const;
   void run_maintenance();
 
-  const PlatformConfig environment_;
+  const PlatformConfig config_;
   const std::shared_ptr<spdlog::logger> log_;
-  control_plane::RateLimitedLogger complaints_;
-  // What is written and to whom; held for a few instructions, after the desk's lock where both are.
-  std::mutex lock_;
-  TableUpdateEncoder channel_;
-  EndpointRegistry places_;
-  std::shared_ptr<const routing_state::RoutingSnapshot> version_ =
-      std::make_shared<routing_state::RoutingSnapshot>();
-  std::set<ReplicaId> probed_;  // whose probes wait for their turn
-  std::atomic<bool> wants_list_ = false;
+  control_plane::RateLimitedLogger peer_errors_;
+  StreamDelivery delivery_;
+  std::atomic<bool> list_refresh_requested_ = false;
+
+  // In the order of what they use: each is destroyed before that.
   std::unique_ptr<control_plane::ControllerDriver> driver_;
-  net::CancellationEvent interrupt_;  // of probes, at the end
-  std::unique_ptr<net::ThreadPool> probers_, teller_;
-  std::unique_ptr<GossipChannel> peers_;  // null where governors may not talk
+  std::unique_ptr<HealthChecker> health_checker_;
+  std::unique_ptr<EndpointListIntake> endpoint_list_intake_;
+  std::unique_ptr<StreamEventRouter> stream_events_;
+  std::unique_ptr<net::ThreadPool> gossip_sender_;  // null where instances may not gossip
+  std::unique_ptr<GossipChannel> gossip_;           // null where instances may not gossip
   std::unique_ptr<StreamServer> streams_;
-  std::unique_ptr<discovery::DiscoveryWatcher> registry_;
+  std::unique_ptr<discovery::DiscoveryWatcher> discovery_watcher_;
   std::atomic<bool> stopped_ = false;
 };
 
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -58,7 +58,8 @@
   NEEDS ospreypost_routing_state ospreypost_discovery ospreypost_load_reports ospreypost_dns ospreypost_files
         ospreypost_record ospreypost_http spdlog::spdlog)
 ospreypost_package(platform platform_config.cpp messages.cpp table_push.cpp table_update_encoder.cpp endpoint_registry.cpp
-  stream_server.cpp gossip_channel.cpp platform_server.cpp
+  stream_delivery.cpp stream_server.cpp stream_event_router.cpp endpoint_list_intake.cpp health_checker.cpp
+  gossip_channel.cpp platform_server.cpp
   NEEDS ospreypost_control_plane ospreypost_resp ospreypost_discovery ospreypost_simulator)
 ospreypost_package(checker invariant_checker.cpp NEEDS Threads::Threads)
 # Boost's distributions are headers: the same draws on any machine.
