--- a/fuzz/discovery_update.cpp
+++ b/fuzz/discovery_update.cpp
@@ -12,7 +12,7 @@
     try {
       const auto roster = discovery::parse_endpoint_list_update(text.substr(0, end));
       const auto taken = places.apply(roster);
-      if (taken.updates.size() + taken.rejected > roster.members.size()) std::abort();
+      if (taken.updates.size() + taken.rejected > roster.entries.size()) std::abort();
     } catch (const net::Error&) {
     }
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -116,7 +116,7 @@
     auto& place = next->replicas[at];
     place.name = change.name;
     place.gone = change.phase == EndpointPhase::gone;
-    if (change.backend) place.address = change.backend->address, place.zone = change.backend->zone;
+    if (change.endpoint) place.address = change.endpoint->address, place.zone = change.endpoint->zone;
     phases_[at] = change.phase;
   }
   out_changed_ = true;
@@ -138,16 +138,16 @@
       EndpointUpdate entry;
       entry.replica = replicas_.id_of(change.name);
       entry.phase = change.phase;
-      if (change.backend) {
-        entry.zone = ZoneId{position(config_.zones, change.backend->zone)};
-        entry.kind = HardwareKindId{position(config_.kinds, change.backend->kind)};
-        entry.cell = cells_.id_of(change.backend->cell);
-        entry.weight = change.backend->weight;
+      if (change.endpoint) {
+        entry.zone = ZoneId{position(config_.zones, change.endpoint->zone)};
+        entry.kind = HardwareKindId{position(config_.kinds, change.endpoint->kind)};
+        entry.cell = cells_.id_of(change.endpoint->cell);
+        entry.weight = change.endpoint->weight;
         entry.started = change.started;
       }
       entries.push_back(entry);
     }
-    governor.on_endpoint_list(now, taken.first ? EndpointListKind::cached : EndpointListKind::changes,
+    governor.on_endpoint_list(now, taken.is_first_list ? EndpointListKind::cached : EndpointListKind::changes,
                               entries);
   });
 }
--- a/src/control_plane/control_plane_server.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -87,7 +87,7 @@
 }
 
 void ControlPlaneServer::refresh_endpoint_list() {
-  if (roll_) roll_->look();
+  if (roll_) roll_->refresh();
 }
 
 void ControlPlaneServer::log(std::string_view line, routing_state::SnapshotVersion version) {
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -79,12 +79,12 @@
     try {
       auto member = member_of(entry);
       if (!named.insert(member.name).second) throw net::Error("named twice");
-      roster.members.push_back(std::move(member));
+      roster.entries.push_back(std::move(member));
     } catch (const net::Error&) {
-      ++roster.refused;
+      ++roster.rejected;
       const auto name = entry.is_object() ? entry.find("id") : entry.end();
       if (entry.is_object() && name != entry.end() && name->is_string())
-        roster.unreadable.push_back(name->get<std::string>());
+        roster.rejected_names.push_back(name->get<std::string>());
     }
   }
   return roster;
@@ -105,7 +105,7 @@
     }
     thread_.join();
   }
-  void look() {
+  void refresh() {
     const std::lock_guard held(lock_);
     again_ = true;
     interrupt_.set();
@@ -114,7 +114,7 @@
   // Reads on while its watch lasts, but not for long, and dials no more.
   void leave() {
     const std::lock_guard held(lock_);
-    leaves_at_ = net::Steady::now() + registry_.waits_.leaving;
+    leaves_at_ = net::Steady::now() + registry_.waits_.draining;
     if (!watching_) interrupt_.set();
     changed_.notify_all();
   }
@@ -169,12 +169,12 @@
       const std::lock_guard held(lock_);
       return leaves_at_.value_or(net::Deadline::max() - 1h);
     };
-    connection.read_lines(kMostLine, waits.silence, until, [this](std::string_view line) { take(line); });
+    connection.read_lines(kMostLine, waits.idle, until, [this](std::string_view line) { take(line); });
   }
 
   void take(std::string_view line) {
     const auto now = net::Steady::now();
-    const bool anew = behind_since_ && now - *behind_since_ >= registry_.waits_.behind;
+    const bool anew = behind_since_ && now - *behind_since_ >= registry_.waits_.stale;
     if (anew && !whole_) {
       whole_ = true;
       throw net::Error("older lists for so long: it is asked for the whole one");
@@ -209,7 +209,7 @@
 };
 
 DiscoveryWatcher::DiscoveryWatcher(const net::Address& address, std::uint64_t revision,
-                                   EndpointListHandler& sink, Waits waits)
+                                   EndpointListHandler& sink, Timeouts waits)
     : sink_(sink), waits_(waits), revision_(revision) {
   follower_ = std::make_unique<Follower>(*this, address);
 }
@@ -227,9 +227,9 @@
   follower_ = std::make_unique<Follower>(*this, address);
 }
 
-void DiscoveryWatcher::look() {
+void DiscoveryWatcher::refresh() {
   const std::lock_guard held(lock_);
-  if (follower_) follower_->look();
+  if (follower_) follower_->refresh();
 }
 
 void DiscoveryWatcher::stop() {
@@ -259,7 +259,7 @@
 
 void DiscoveryWatcher::silent(const std::string& why) {
   const std::lock_guard held(taking_);
-  sink_.on_discovery_silent(why);
+  sink_.on_discovery_error(why);
 }
 
 }  // namespace ospreypost::discovery
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -30,9 +30,9 @@
 struct EndpointListUpdate {
   std::uint64_t revision = 0;
   bool complete = false;
-  std::vector<EndpointEntry> members;
-  std::size_t refused = 0;              // entries that could not be read; the others stand
-  std::vector<std::string> unreadable;  // of those, the ones that say whose they are
+  std::vector<EndpointEntry> entries;
+  std::size_t rejected = 0;                 // entries that could not be read; the others stand
+  std::vector<std::string> rejected_names;  // of those, the ones that say whose they are
 };
 
 // Throws net::Error naming what is wrong where the document as a whole can't be read.
@@ -43,35 +43,35 @@
  public:
   virtual ~EndpointListHandler() = default;
   virtual void on_endpoint_list_update(const EndpointListUpdate& roster) = 0;
-  virtual void on_discovery_silent(const std::string& why) = 0;  // the last list stands
+  virtual void on_discovery_error(const std::string& why) = 0;  // the last list stands
 };
 
 // Watches until stopped, and dials again whenever a watch ends, is silent or can't be read. A list only goes
 // forward: what is older than the one known is not taken, whoever sends it.
 class DiscoveryWatcher {
  public:
-  struct Waits {
+  struct Timeouts {
     net::Steady::duration connect =
         std::chrono::seconds(1);  // for a connection, and for the question to leave
     // After so long without a whole line the watch is dead: an empty one comes every 2 s while nothing
     // changes. With a pause and a connection it stays below the 6 s after which what changed counts as told.
-    net::Steady::duration silence = std::chrono::seconds(3);
+    net::Steady::duration idle = std::chrono::seconds(3);
     // After a move, the watch that is left goes on for so long: what it has written counts as told, and the
     // new address may be behind.
-    net::Steady::duration leaving = std::chrono::seconds(2);
+    net::Steady::duration draining = std::chrono::seconds(2);
     // Who sends older lists for so long is not behind, but begins anew, and is taken at its word.
-    net::Steady::duration behind = std::chrono::seconds(60);
+    net::Steady::duration stale = std::chrono::seconds(60);
   };
   // `revision`: of the list that is known already.
   DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink)
-      : DiscoveryWatcher(address, revision, sink, Waits{}) {}
+      : DiscoveryWatcher(address, revision, sink, Timeouts{}) {}
   DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink,
-                   Waits waits);
+                   Timeouts waits);
   ~DiscoveryWatcher();
   // Dials there at once.
   void move_to(const net::Address& address);
   // The whole list is asked for anew.
-  void look();
+  void refresh();
   void stop();
 
  private:
@@ -82,7 +82,7 @@
   void silent(const std::string& why);
 
   EndpointListHandler& sink_;
-  const Waits waits_;
+  const Timeouts waits_;
   mutable std::mutex taking_;  // held while the sink is told, so that lists are told in their order
   std::uint64_t revision_;
   std::mutex lock_;  // of who follows; never held while anything is read, written or told
--- a/src/discovery/endpoint_file_source.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -119,7 +119,7 @@
         kSettled;
     last_ = settled ? mark : Mark{};
     last_fault_.clear();
-    if (taken.first || !taken.changes.empty()) sink_.on_endpoint_list_changed(taken);
+    if (taken.is_first_list || !taken.changes.empty()) sink_.on_endpoint_list_changed(taken);
   } catch (const std::exception& error) {
     // Tried again at the next look, as it may be half-written now; complained of once.
     if (last_fault_ != error.what()) sink_.on_endpoint_list_unreadable(error.what());
--- a/src/discovery/endpoint_file_source.h
+++ b/src/discovery/endpoint_file_source.h
@@ -38,7 +38,7 @@
   EndpointFileSource(const config::Config& config, EndpointSourceListener& sink, Clock clock);
   ~EndpointFileSource() { stop(); }
   // The whole roll is read again, changed or not.
-  void look() { again_ = true; }
+  void refresh() { again_ = true; }
   void stop();
 
  private:
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -29,7 +29,7 @@
 
 // What differs from the roll before.
 struct EndpointChange {
-  const Endpoint* backend = nullptr;  // null when it is gone
+  const Endpoint* endpoint = nullptr;  // null when it is gone
   std::string name;
   EndpointPhase phase = EndpointPhase::ready;
   std::optional<Nanos> started;  // on the monotonic clock
@@ -38,7 +38,7 @@
 class EndpointList {
  public:
   struct Changes {
-    bool first = false;
+    bool is_first_list = false;
     std::vector<EndpointChange> changes;  // by name
   };
   // `read` is when it was read, on both clocks. Throws net::Error naming what is absurd, and keeps what it
--- a/src/platform/endpoint_list_intake.cpp
+++ b/src/platform/endpoint_list_intake.cpp
@@ -64,13 +64,13 @@
   apply(list, Source::discovery);
 }
 
-void EndpointListIntake::on_discovery_silent(const std::string& why) {
+void EndpointListIntake::on_discovery_error(const std::string& why) {
   targets_.errors.add("no news of the list: " + why);
 }
 
 void EndpointListIntake::apply(const discovery::EndpointListUpdate& list, Source source) {
   log_list(list, source);
-  std::size_t rejected = list.refused;
+  std::size_t rejected = list.rejected;
   targets_.driver.call([&](record::RecordingController& controller, routing_state::RoutingState&, Nanos now) {
     const auto changes = targets_.delivery.apply(list);
     rejected += changes.rejected;
@@ -87,7 +87,7 @@
 void EndpointListIntake::log_list(const discovery::EndpointListUpdate& list, Source source) {
   std::size_t ready = 0;
   std::size_t warming_up = 0;
-  for (const auto& entry : list.members) {
+  for (const auto& entry : list.entries) {
     const bool recent = started_within(entry, warm_up_duration_);
     if (entry.phase == EndpointPhase::ready) {
       ready += 1;
@@ -97,7 +97,7 @@
   }
   if (!list.complete) return;
   log_->info("{} list of {}: {} ready, {} of them cold", source == Source::cached ? "known" : "whole",
-             list.members.size(), ready, warming_up);
+             list.entries.size(), ready, warming_up);
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -24,7 +24,7 @@
 
 EndpointRegistry::Changes EndpointRegistry::apply(const discovery::EndpointListUpdate& list) {
   Changes changes;
-  for (const auto& entry : list.members) {
+  for (const auto& entry : list.entries) {
     const bool gone = entry.phase == EndpointPhase::gone;
     if (!gone && !has_known_placement(entry)) {
       ++changes.rejected;
@@ -35,7 +35,7 @@
     apply_entry(entry, changes);
   }
   if (!list.complete) return changes;
-  changes.must_apply_as_changes = changes.rejected + list.refused > 0;
+  changes.must_apply_as_changes = changes.rejected + list.rejected > 0;
   remove_unlisted(list, changes);
   return changes;
 }
@@ -76,8 +76,8 @@
 }
 
 void EndpointRegistry::remove_unlisted(const discovery::EndpointListUpdate& list, Changes& changes) {
-  std::set<std::string_view> listed(list.unreadable.begin(), list.unreadable.end());
-  for (const auto& entry : list.members) listed.insert(entry.name);
+  std::set<std::string_view> listed(list.rejected_names.begin(), list.rejected_names.end());
+  for (const auto& entry : list.entries) listed.insert(entry.name);
   for (auto& [id, endpoint] : endpoints_) {
     if (listed.contains(endpoint.name) || endpoint.phase == EndpointPhase::gone) continue;
     if (endpoint.phase == EndpointPhase::ready) changes.no_longer_ready.push_back(id);
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -160,7 +160,7 @@
 
 // From time to time, without a lock: what no call may do, as it would wait or take long.
 void PlatformServer::run_maintenance() {
-  if (list_refresh_requested_.exchange(false)) discovery_watcher_->look();
+  if (list_refresh_requested_.exchange(false)) discovery_watcher_->refresh();
   delivery_.release_unused_replicas();
 }
 
--- a/tests/program/discovery_test.cpp
+++ b/tests/program/discovery_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(EndpointList, TellsWhatDiffers) {
   discovery::EndpointList roll;
-  EXPECT_TRUE(roll.update(10s, wall(100s), {backend("b"), backend("a")}).first);
+  EXPECT_TRUE(roll.update(10s, wall(100s), {backend("b"), backend("a")}).is_first_list);
   auto draining = backend("a");
   draining.draining = true;
   const auto taken = roll.update(11s, wall(101s), {draining, backend("c")});
--- a/tests/program/event_ordering_test.cpp
+++ b/tests/program/event_ordering_test.cpp
@@ -81,7 +81,7 @@
     revisions.push_back(roster.revision);
     changed.notify_all();
   }
-  void on_discovery_silent(const std::string&) override {}
+  void on_discovery_error(const std::string&) override {}
   bool waits_for(std::uint64_t revision) {
     std::unique_lock held(lock);
     return changed.wait_for(held, 10s, [&] { return !revisions.empty() && revisions.back() == revision; });
@@ -91,10 +91,10 @@
   std::vector<std::uint64_t> revisions;
 };
 
-discovery::DiscoveryWatcher::Waits waits(net::Steady::duration connect, net::Steady::duration silence) {
-  discovery::DiscoveryWatcher::Waits made;
+discovery::DiscoveryWatcher::Timeouts waits(net::Steady::duration connect, net::Steady::duration silence) {
+  discovery::DiscoveryWatcher::Timeouts made;
   made.connect = connect;
-  made.silence = silence;
+  made.idle = silence;
   return made;
 }
 
@@ -123,7 +123,7 @@
   Told told;
   discovery::DiscoveryWatcher registry(nobody.address(), 5, told, waits(kLong, kLong));
   nobody.wait_until_dialled();
-  registry.look();
+  registry.refresh();
   const auto taken = nobody.open();
   // Whichever attempt gets through first asks for the whole list.
   std::string request;
@@ -239,7 +239,7 @@
   Discovery discovery;
   Told told;
   auto short_waits = waits(10s, 10s);
-  short_waits.behind = 50ms;
+  short_waits.stale = 50ms;
   discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 41, told, short_waits);
   discovery.next_watch();
   discovery.say(test::roster(7, true, test::member("a")));
--- a/tests/program/platform_server_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -159,7 +159,7 @@
 TEST(DiscoveryWatcher, ASilentOneIsDialledAgain) {
   struct Sink : discovery::EndpointListHandler {
     void on_endpoint_list_update(const discovery::EndpointListUpdate&) override {}
-    void on_discovery_silent(const std::string&) override {}
+    void on_discovery_error(const std::string&) override {}
   } sink;
   Discovery discovery;
   discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, sink, {1s, 50ms});
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -254,8 +254,8 @@
       test::roster(1, true,
                    test::member("a") + R"(,{"id":7},)" + test::member("b", "DANCING") + "," +
                        test::member("a") + "," + test::member("c", "SERVING", "nowhere")));
-  EXPECT_EQ(some.members.size(), 1u);
-  EXPECT_EQ(some.refused, 4u);
+  EXPECT_EQ(some.entries.size(), 1u);
+  EXPECT_EQ(some.rejected, 4u);
 }
 
 // --- The channel
