--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -99,21 +99,26 @@
   if (replica.breaker.confirm(clock_.now(), replica.outcomes.successes)) actions_.log("close " + name_of(id));
 }
 
+ReplicaMap::value_type* OutlierDetector::find_unserved(ReplicaMap& replicas, const RoutingGroup& group,
+                                                       std::size_t zone, const SlowStart& slow_start) const {
+  ReplicaMap::value_type* first_due = nullptr;
+  for (auto& entry : replicas) {
+    const auto& replica = entry.second;
+    if (!replica.is_ready() || !group.may_use(zone, replica)) continue;
+    if (slow_start.may_serve(replica, clock_.now())) return nullptr;
+    const bool is_earlier =
+        first_due == nullptr || replica.breaker.reopens_at() < first_due->second.breaker.reopens_at();
+    if (is_earlier) first_due = &entry;
+  }
+  return first_due;
+}
+
 void OutlierDetector::restore_endpoints(ReplicaMap& replicas, const std::vector<RoutingGroup>& groups,
                                         std::size_t zones, SlowStart& slow_start) const {
   for (const auto& group : groups) {
     for (std::size_t zone = 0; zone < zones; ++zone) {
-      ReplicaMap::value_type* first_due = nullptr;
-      bool is_served = false;
-      for (auto& entry : replicas) {
-        const auto& replica = entry.second;
-        if (!replica.is_ready() || !group.may_use(zone, replica)) continue;
-        is_served = is_served || slow_start.may_serve(replica, clock_.now());
-        const bool is_earlier =
-            first_due == nullptr || replica.breaker.reopens_at() < first_due->second.breaker.reopens_at();
-        if (is_earlier) first_due = &entry;
-      }
-      if (is_served || first_due == nullptr) continue;
+      auto* first_due = find_unserved(replicas, group, zone, slow_start);
+      if (first_due == nullptr) continue;
       slow_start.release_all();
       half_open(first_due->first, first_due->second);
     }
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -35,6 +35,10 @@
   bool is_failing(const Replica& replica, const FleetStatistics& fleet) const;
   void trip(ReplicaId id, Replica& replica) const;
   void confirm(ReplicaId id, Replica& replica) const;
+  /// Of the replicas that a group may use from a zone, the one that is due first; none if any serves, or
+  /// there is none.
+  ReplicaMap::value_type* find_unserved(ReplicaMap& replicas, const RoutingGroup& group, std::size_t zone,
+                                        const SlowStart& slow_start) const;
 
   const Nanos message_delay_;
   const LoadSignal& load_signal_;
