--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -22,10 +22,10 @@
   explicit Fixed(std::uint32_t lines) {
     delivery::EndpointDirectory places;
     auto view = std::make_shared<routing_state::RoutingTable>();
-    view->terms.resize(2);
+    view->traffic_policies.resize(2);
     for (std::uint32_t id = 0; id < lines; ++id) {
-      places.replicas.push_back({"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
-      view->lines.push_back({ReplicaId{id}, 1.0 + id});
+      places.endpoints.push_back({"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
+      view->entries.push_back({ReplicaId{id}, 1.0 + id});
     }
     auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
     proxy_snapshot->routing_tables = {view, view};
--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -175,7 +175,7 @@
       named = false;
       const auto version = live.standing().version;
       for (const auto& [proxy, proxy_snapshot] : version->proxy_snapshots) {
-        for (const auto& line : proxy_snapshot->routing_tables[0]->lines)
+        for (const auto& line : proxy_snapshot->routing_tables[0]->entries)
           named = named || line.replica == gone;
       }
     }
@@ -193,8 +193,8 @@
       "CPU %.3f of a core (this driver included); from a drain in the list to no table that names it: p50 "
       "%.2f ms, most "
       "%.2f ms; resident %.0f MiB; lines waiting at most %.0f of %.0f\n",
-      used / wall_took, at(shown, 0.5), at(shown, 1), resident_mib(), live.standing().counts.worst_waiting,
-      config.settings.channel_max_queued_entries);
+      used / wall_took, at(shown, 0.5), at(shown, 1), resident_mib(),
+      live.standing().counts.max_queued_entries, config.settings.channel_max_queued_entries);
   if (record) {
     live.stop();
     record->stop();
--- a/fuzz/dns_question.cpp
+++ b/fuzz/dns_question.cpp
@@ -16,12 +16,12 @@
   Nobody() {
     delivery::EndpointDirectory places;
     auto view = std::make_shared<routing_state::RoutingTable>();
-    view->terms.resize(2);
+    view->traffic_policies.resize(2);
     for (std::uint32_t id = 0; id < 40; ++id) {
       const auto name = "unit-" + std::to_string(id);
-      places.replicas.push_back({name, "east", {"127.0.0.1", 9000}, false});
-      places.by_name[name] = ReplicaId{id};
-      view->lines.push_back({ReplicaId{id}, 1.0});
+      places.endpoints.push_back({name, "east", {"127.0.0.1", 9000}, false});
+      places.ids_by_name[name] = ReplicaId{id};
+      view->entries.push_back({ReplicaId{id}, 1.0});
     }
     auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
     proxy_snapshot->routing_tables = {view, view};
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -161,7 +161,7 @@
     element.fail("most-connections must be 1 to 1024");
   if (dns.answers_per_second <= 0) element.fail("answers-per-second must be above 0");
   // No answer with replicas could be given to anybody.
-  if (!dns::leaves_room(client_limits(config)))
+  if (!dns::grace_permits_min_ttl(client_limits(config)))
     element.fail("the drain grace leaves no room for a lifetime of 1 s, the flight and the roll's reading");
 }
 
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -41,31 +41,31 @@
 ControlPlane::~ControlPlane() { stop(); }
 
 void ControlPlane::on_published(Nanos now,
-                                const std::optional<routing_state::RoutingState::Published>& published,
+                                const std::optional<routing_state::RoutingState::Publication>& published,
                                 const std::vector<std::pair<AckRequestId, bool>>& marks) {
   const bool out_changed = std::exchange(out_changed_, false);
   if (out_changed) publish_out(now);
   if (published) {
     const std::lock_guard held(delivery_lock_);
-    for (const auto& pending : published->pending) {
-      auto proxy_snapshot = published->version->snapshot_of(pending.proxy);
+    for (const auto& pending : published->changes) {
+      auto proxy_snapshot = published->snapshot->snapshot_of(pending.proxy);
       if (entry_of(pending.proxy).is_pushed_to()) {
-        push_scheduler_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.lines);
+        push_scheduler_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.entries);
       } else {
-        pull_delivery_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.lines);
+        pull_delivery_.on_published(now, pending.proxy, std::move(proxy_snapshot), pending.entries);
       }
     }
   }
   if (auto* pusher = pusher_.load(); pusher && (published || out_changed)) pusher->on_push_available();
-  const auto standing = published ? published->version : version_;
+  const auto standing = published ? published->snapshot : version_;
   if (published) {
     const std::lock_guard held(shared_lock_);
     version_ = standing;
   }
   for (const auto& [mark, reach_all] : marks) {
-    const auto by = standing->marked(reach_all);
+    const auto by = standing->acknowledgement_recipients(reach_all);
     const std::lock_guard held(delivery_lock_);
-    pull_delivery_.request_acknowledgement(now, mark, standing->number, by);
+    pull_delivery_.request_acknowledgement(now, mark, standing->version, by);
   }
 }
 
@@ -77,7 +77,7 @@
     const ReplicaId id{static_cast<std::uint32_t>(n)};
     if (phases_[n] == EndpointPhase::ready && !withdrawn_.contains(id)) continue;
     out.insert(id);
-    names.push_back(directory_->place(id).name);
+    names.push_back(directory_->endpoint(id).name);
   }
   {
     const std::lock_guard held(shared_lock_);
@@ -110,12 +110,12 @@
   for (const auto& change : taken.changes) {
     const auto id = replicas_.id_of(change.name);
     const auto at = static_cast<std::size_t>(id);
-    if (next->replicas.size() <= at)
-      next->replicas.resize(at + 1), phases_.resize(at + 1, EndpointPhase::gone);
-    next->by_name[change.name] = id;
-    auto& place = next->replicas[at];
+    if (next->endpoints.size() <= at)
+      next->endpoints.resize(at + 1), phases_.resize(at + 1, EndpointPhase::gone);
+    next->ids_by_name[change.name] = id;
+    auto& place = next->endpoints[at];
     place.name = change.name;
-    place.gone = change.phase == EndpointPhase::gone;
+    place.removed = change.phase == EndpointPhase::gone;
     if (change.backend) place.address = change.backend->address, place.zone = change.backend->zone;
     phases_[at] = change.phase;
   }
@@ -188,10 +188,10 @@
 bool ControlPlane::is_held(ProxyId proxy) const {
   if (entry_of(proxy).is_pushed_to()) {
     const std::lock_guard held(delivery_lock_);
-    return push_scheduler_.is_held(proxy);
+    return push_scheduler_.is_joined(proxy);
   }
   const std::lock_guard held(clients_lock_);
-  return ttl_policy_.is_held(proxy);
+  return ttl_policy_.is_joined(proxy);
 }
 
 void ControlPlane::settle(ProxyId proxy) {
@@ -203,10 +203,10 @@
       const auto proxy_snapshot = held && known.is_pushed_to() ? version_->snapshot_of(proxy) : nullptr;
       if (!proxy_snapshot) return;
       const std::lock_guard handouts(delivery_lock_);
-      push_scheduler_.on_published(now, proxy, proxy_snapshot, routing_state::size_of(*proxy_snapshot));
+      push_scheduler_.on_published(now, proxy, proxy_snapshot, routing_state::entry_count(*proxy_snapshot));
       return;
     }
-    world_.log((held ? "join " : "leave ") + known.name, version_->number);
+    world_.log((held ? "join " : "leave ") + known.name, version_->version);
     if (held) {
       joined_.insert(proxy);
       book.add_proxy(proxy);
@@ -232,13 +232,13 @@
     const std::lock_guard held(clients_lock_);
     told.ttl_decision = ttl_policy_.on_query(now, proxy, cls);
   }
-  if (told.ttl_decision.joins || told.ttl_decision.leaves) settle(proxy);
+  if (told.ttl_decision.client_joined || told.ttl_decision.client_left) settle(proxy);
   told.directory = directory();
   if (told.ttl_decision.service != dns::ClientService::replicas) {
-    told.entries = entries_for(std::nullopt, proxy);
+    told.fallback_proxies = entries_for(std::nullopt, proxy);
     return told;
   }
-  std::vector<routing_state::PullDelivery::Reached> reached;
+  std::vector<routing_state::PullDelivery::Acknowledgement> reached;
   {
     const std::lock_guard held(delivery_lock_);
     told.proxy_snapshot = pull_delivery_.take_answer(now, proxy);
@@ -246,7 +246,7 @@
   }
   for (const auto& mark : reached) {
     driver_.call([&](record::RecordingController& governor, routing_state::RoutingState&, Nanos at) {
-      governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
+      governor.on_acknowledged(at, mark.proxy, mark.request, mark.latency);
     });
   }
   return told;
@@ -256,7 +256,7 @@
   delivery::PullAnswer told;
   told.ttl_decision.service = dns::ClientService::proxies;
   told.directory = directory();
-  told.entries = entries_for(zone, std::nullopt);
+  told.fallback_proxies = entries_for(zone, std::nullopt);
   return told;
 }
 
@@ -281,14 +281,15 @@
     offer = push_scheduler_.take_push(driver_.now());
   }
   if (!offer) return std::nullopt;
-  delivery::PushMessage push{offer->proxy,        offer->proxy_snapshot, directory(), {}, offer->recall, 0,
-                             lease_table_.owner()};
+  delivery::PushMessage push{
+      offer->proxy,        offer->proxy_snapshot, directory(), {}, offer->overrides_rollback, 0,
+      lease_table_.owner()};
   {
     const std::lock_guard held(delivery_lock_);
     push.epoch = lease_table_.epoch(offer->proxy);
   }
   const std::lock_guard held(shared_lock_);
-  push.out = out_;
+  push.ejected = out_;
   return push;
 }
 
@@ -323,8 +324,8 @@
   const auto known = directory();
   std::set<ReplicaId> replicas;
   for (const auto& name : rolled_back_to) {
-    const auto at = known->by_name.find(name);
-    replicas.insert(at == known->by_name.end() ? kNobody : at->second);
+    const auto at = known->ids_by_name.find(name);
+    replicas.insert(at == known->ids_by_name.end() ? kNobody : at->second);
   }
   push_scheduler_.on_rollback(now, proxy, std::move(replicas));
 }
@@ -345,12 +346,12 @@
 // False if it goes on as ours; else it joins or leaves by what was met. With the handouts' lock held.
 bool ControlPlane::changes_hands(Nanos now, ProxyId proxy, const routing_state::RemoteState& met) {
   switch (lease_table_.observe(proxy, met)) {
-    case routing_state::LeaseTable::Standing::ours:
+    case routing_state::LeaseTable::Ownership::ours:
       break;
-    case routing_state::LeaseTable::Standing::claimed:
-      push_scheduler_.on_joined(now, proxy, !met.any);
+    case routing_state::LeaseTable::Ownership::claimed:
+      push_scheduler_.on_joined(now, proxy, !met.has_table);
       return true;
-    case routing_state::LeaseTable::Standing::theirs:
+    case routing_state::LeaseTable::Ownership::theirs:
       push_scheduler_.on_rejected(now, proxy);
       note_fault(proxy, "it follows " + met.owner);
       return true;
@@ -375,7 +376,7 @@
   {
     const std::lock_guard held(delivery_lock_);
     const auto now = driver_.now();
-    const auto version = met.any ? std::optional(met.version) : std::nullopt;
+    const auto version = met.has_table ? std::optional(met.version) : std::nullopt;
     if (!changes_hands(now, proxy, met) && !push_scheduler_.on_liveness(now, proxy, version)) {
       note_way_back(now, proxy, met.rolled_back_to);
       return;
@@ -391,13 +392,13 @@
 
 routing_state::SnapshotVersion ControlPlane::version() const {
   const std::lock_guard held(shared_lock_);
-  return version_->number;
+  return version_->version;
 }
 
 std::optional<ReplicaId> ControlPlane::find_replica(std::string_view name) const {
   const auto places = directory();
-  const auto known = places->by_name.find(name);
-  if (known == places->by_name.end()) return std::nullopt;
+  const auto known = places->ids_by_name.find(name);
+  if (known == places->ids_by_name.end()) return std::nullopt;
   return known->second;
 }
 
@@ -426,7 +427,7 @@
 void ControlPlane::watch_endpoint_list(bool) {}
 void ControlPlane::refresh_endpoint_list() { world_.refresh_endpoint_list(); }
 void ControlPlane::request_health_check(ReplicaId replica) {
-  world_.request_health_check(replica, directory_->place(replica).address);
+  world_.request_health_check(replica, directory_->endpoint(replica).address);
 }
 // There are no peers yet.
 void ControlPlane::send_to_peer(std::optional<PeerId>, std::string_view) {}
@@ -434,7 +435,7 @@
   const auto name_of = [this](ReplicaId id) {
     return static_cast<std::size_t>(id) < replicas_.size() ? std::string_view(replicas_.name(id)) : "";
   };
-  world_.log(with_name(line, name_of), version_->number);
+  world_.log(with_name(line, name_of), version_->version);
 }
 
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -78,7 +78,7 @@
   ControlPlaneStatus standing() const;
 
  private:
-  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<std::pair<AckRequestId, bool>>& marks) override;
   void on_ejection_changed(ReplicaId replica, bool out) override;
   void request_health_check(ReplicaId replica) override;
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -24,7 +24,8 @@
  public:
   virtual ~ControllerFrontend() = default;
   // After calls that ordered something; no version if nothing changed that anybody may use.
-  virtual void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+  virtual void on_published(Nanos now,
+                            const std::optional<routing_state::RoutingState::Publication>& published,
                             const std::vector<std::pair<AckRequestId, bool>>& marks) = 0;
   virtual void on_ejection_changed(ReplicaId replica, bool out) = 0;
   virtual void request_health_check(ReplicaId replica) = 0;
--- a/src/control_plane/status.cpp
+++ b/src/control_plane/status.cpp
@@ -16,12 +16,12 @@
   for (const auto& [proxy, proxy_snapshot] : standing.version->proxy_snapshots) {
     for (std::size_t k = 0; k < proxy_snapshot->routing_tables.size(); ++k) {
       if (!proxy_snapshot->routing_tables[k]) continue;
-      for (const auto& line : proxy_snapshot->routing_tables[k]->lines) {
+      for (const auto& line : proxy_snapshot->routing_tables[k]->entries) {
         rows.push_back({{"proxy", config.proxies.known[static_cast<std::size_t>(proxy)].name},
                         {"class", config.classes[k]},
-                        {"replica", standing.directory->place(line.replica).name},
+                        {"replica", standing.directory->endpoint(line.replica).name},
                         {"weight", line.weight},
-                        {"level", proxy_snapshot->routing_tables[k]->terms[k].level}});
+                        {"level", proxy_snapshot->routing_tables[k]->traffic_policies[k].admitted_fraction}});
       }
     }
   }
@@ -31,7 +31,7 @@
 json replicas(const ControlPlaneStatus& standing) {
   json rows = json::array();
   for (std::size_t n = 0; n < standing.phases.size(); ++n) {
-    const auto& place = standing.directory->replicas[n];
+    const auto& place = standing.directory->endpoints[n];
     rows.push_back(
         {{"replica", place.name}, {"phase", name_of(standing.phases[n])}, {"address", place.address.text()}});
   }
@@ -43,26 +43,28 @@
   for (std::size_t p = 0; p < config.proxies.known.size(); ++p) {
     const auto& proxy = config.proxies.known[p];
     const auto proxy_snapshot = standing.version->snapshot_of(ProxyId{static_cast<std::uint16_t>(p)});
-    rows.push_back({{"proxy", proxy.name},
-                    {"zone", config.zones[static_cast<std::size_t>(proxy.zone)]},
-                    {"joined", static_cast<bool>(standing.joined[p])},
-                    {"version", proxy_snapshot ? static_cast<std::uint64_t>(proxy_snapshot->since) : 0}});
+    rows.push_back(
+        {{"proxy", proxy.name},
+         {"zone", config.zones[static_cast<std::size_t>(proxy.zone)]},
+         {"joined", static_cast<bool>(standing.joined[p])},
+         {"version", proxy_snapshot ? static_cast<std::uint64_t>(proxy_snapshot->changed_in) : 0}});
   }
   return rows;
 }
 
 json versions(const ControlPlaneStatus& standing, const load_reports::ReportCounts& reports) {
-  return json::array({{{"version", static_cast<std::uint64_t>(standing.version->number)},
-                       {"lines-waiting", standing.counts.waiting + standing.pushes.waiting},
-                       {"worst-waiting", standing.counts.worst_waiting + standing.pushes.worst_waiting},
-                       {"messages", standing.counts.messages + standing.pushes.pushes},
-                       {"push-failures", standing.pushes.failures},
-                       {"held-back", standing.counts.held_back},
-                       {"reports-taken", reports.taken},
-                       {"reports-repeated", reports.repeated},
-                       {"reports-too-old", reports.too_old},
-                       {"reports-malformed", reports.malformed},
-                       {"reports-unknown", reports.unknown}}});
+  return json::array(
+      {{{"version", static_cast<std::uint64_t>(standing.version->version)},
+        {"lines-waiting", standing.counts.queued_entries + standing.pushes.queued_entries},
+        {"worst-waiting", standing.counts.max_queued_entries + standing.pushes.max_queued_entries},
+        {"messages", standing.counts.messages + standing.pushes.pushes},
+        {"push-failures", standing.pushes.failures},
+        {"held-back", standing.counts.rate_limited_queries},
+        {"reports-taken", reports.taken},
+        {"reports-repeated", reports.repeated},
+        {"reports-too-old", reports.too_old},
+        {"reports-malformed", reports.malformed},
+        {"reports-unknown", reports.unknown}}});
 }
 
 }  // namespace
--- a/src/delivery/delivery_service.h
+++ b/src/delivery/delivery_service.h
@@ -34,18 +34,20 @@
 struct RegisteredEndpoint {
   std::string name, zone;
   net::Address address;
-  bool gone = false;
+  bool removed = false;
 };
 
 // Immutable once shared. Replicas that are gone keep their place, for answers that are being written.
 struct EndpointDirectory {
-  std::vector<RegisteredEndpoint> replicas;  // by ReplicaId
-  std::map<std::string, ReplicaId, std::less<>> by_name;
+  std::vector<RegisteredEndpoint> endpoints;  // by ReplicaId
+  std::map<std::string, ReplicaId, std::less<>> ids_by_name;
 
-  const RegisteredEndpoint& place(ReplicaId id) const { return replicas.at(static_cast<std::size_t>(id)); }
+  const RegisteredEndpoint& endpoint(ReplicaId id) const {
+    return endpoints.at(static_cast<std::size_t>(id));
+  }
   const RegisteredEndpoint* find(std::string_view name) const {
-    const auto known = by_name.find(name);
-    return known == by_name.end() ? nullptr : &place(known->second);
+    const auto known = ids_by_name.find(name);
+    return known == ids_by_name.end() ? nullptr : &endpoint(known->second);
   }
 };
 
@@ -61,7 +63,7 @@
   std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;  // null: nothing can be said now
   std::shared_ptr<const EndpointDirectory> directory;                  // never null
   std::vector<FallbackProxy>
-      entries;  // for clients that get proxies: those that can be held, its own zone's first
+      fallback_proxies;  // for clients that get proxies: those that can be held, its own zone's first
 };
 
 // What is to be sent to a proxy that is pushed to.
@@ -70,9 +72,9 @@
   std::shared_ptr<const routing_state::ProxySnapshot>
       proxy_snapshot;  // null: only a sign of life is asked for
   std::shared_ptr<const EndpointDirectory> directory;
-  std::vector<std::string> out;  // replicas that nobody may send to now, by name
-  bool recall = false;           // in place of what somebody went back to by hand
-  std::uint64_t epoch = 0;       // that it is ordered by, and by which process
+  std::vector<std::string> ejected;  // replicas that nobody may send to now, by name
+  bool overrides_rollback = false;   // in place of what somebody went back to by hand
+  std::uint64_t epoch = 0;           // that it is ordered by, and by which process
   std::string owner;
 };
 
@@ -104,7 +106,7 @@
   // How long until another may be due with nothing else happening; empty: never.
   virtual std::optional<Nanos> next_push_in() = 0;
   // It goes by that version now.
-  virtual void on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion since) = 0;
+  virtual void on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion version) = 0;
   // Lost, not stored, or not in time.
   virtual void on_push_failed(ProxyId proxy, const std::string& why) = 0;
   // Refused for what lies there.
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -18,9 +18,7 @@
 // What such an answer depends on, beside the question's bytes.
 struct Basis {
   explicit Basis(const delivery::PullAnswer& told)
-      : proxy_snapshot(told.proxy_snapshot),
-        directory(told.directory),
-        lifetime(told.ttl_decision.lifetime) {}
+      : proxy_snapshot(told.proxy_snapshot), directory(told.directory), lifetime(told.ttl_decision.ttl) {}
   bool operator==(const Basis&) const = default;
 
   std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;
--- a/src/dns/client_ttl_policy.cpp
+++ b/src/dns/client_ttl_policy.cpp
@@ -20,17 +20,18 @@
 // How long an answer may be held. What is forgiven, and what fades between two questions, has to fit within
 // the grace as well.
 Nanos hold_most(const ClientTtlLimits& limits) {
-  return nanos(seconds(limits.drain_grace - limits.list_lag - limits.flight - kSlack) * kUnfaded);
+  return nanos(seconds(limits.drain_grace - limits.endpoint_list_lag - limits.answer_delay - kSlack) *
+               kUnfaded);
 }
 
 }  // namespace
 
-bool leaves_room(const ClientTtlLimits& limits) { return hold_most(limits) >= Ttl{1}; }
+bool grace_permits_min_ttl(const ClientTtlLimits& limits) { return hold_most(limits) >= Ttl{1}; }
 
 ClientTtlPolicy::ClientTtlPolicy(const ClientTtlLimits& limits)
     : hold_most_(hold_most(limits)),
-      silence_(std::max<Nanos>(limits.silence, 1s)),
-      longest_(std::max(limits.longest, Ttl{1})) {}
+      silence_(std::max<Nanos>(limits.silence_timeout, 1s)),
+      longest_(std::max(limits.max_ttl, Ttl{1})) {}
 
 void ClientTtlPolicy::add_known(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
 
@@ -80,11 +81,11 @@
   TtlDecision ttl_decision;
   ttl_decision.service = trusted ? ClientService::replicas : ClientService::proxies;
   // While it has still to show itself, only short answers tell anything soon.
-  ttl_decision.lifetime = trusted ? lifetime : Ttl{1};
-  ttl_decision.joins = trusted && !client.joined;
-  ttl_decision.leaves = !trusted && client.joined;
+  ttl_decision.ttl = trusted ? lifetime : Ttl{1};
+  ttl_decision.client_joined = trusted && !client.joined;
+  ttl_decision.client_left = !trusted && client.joined;
   client.joined = trusted;
-  if (over || last == client.answers.end()) client.answers[cls] = {now, ttl_decision.lifetime};
+  if (over || last == client.answers.end()) client.answers[cls] = {now, ttl_decision.ttl};
   return ttl_decision;
 }
 
@@ -113,7 +114,7 @@
   return left;
 }
 
-bool ClientTtlPolicy::is_held(ProxyId id) const {
+bool ClientTtlPolicy::is_joined(ProxyId id) const {
   const auto known = clients_.find(id);
   return known != clients_.end() && known->second.joined;
 }
--- a/src/dns/client_ttl_policy.h
+++ b/src/dns/client_ttl_policy.h
@@ -19,15 +19,15 @@
 using Ttl = std::chrono::duration<std::uint32_t>;  // whole seconds, as records carry them
 
 struct ClientTtlLimits {
-  Nanos drain_grace{};  // from when the governor was told to the last operation
-  Nanos list_lag{};     // that the list may be read late by
-  Nanos flight{};       // of an answer, from its making to its first use, and of the question after it
-  Nanos silence{};      // without a question or a report after which a client has left; at least 1 s
-  Ttl longest{};        // ever given; at least 1 s
+  Nanos drain_grace{};        // from when the governor was told to the last operation
+  Nanos endpoint_list_lag{};  // that the list may be read late by
+  Nanos answer_delay{};       // of an answer, from its making to its first use, and of the question after it
+  Nanos silence_timeout{};    // without a question or a report after which a client has left; at least 1 s
+  Ttl max_ttl{};              // ever given; at least 1 s
 };
 
 // Whether anybody can be held to that grace: the shortest lifetime, 1 s, has room in it.
-bool leaves_room(const ClientTtlLimits& limits);
+bool grace_permits_min_ttl(const ClientTtlLimits& limits);
 
 enum class ClientService {
   unknown,   // no such client
@@ -37,17 +37,17 @@
 
 struct TtlDecision {
   ClientService service = ClientService::unknown;
-  Ttl lifetime{1};
-  bool joins = false;   // with this question
-  bool leaves = false;  // it had joined, and can no longer be held
+  Ttl ttl{1};
+  bool client_joined = false;  // with this question
+  bool client_left = false;    // it had joined, and can no longer be held
 };
 
 class ClientTtlPolicy {
  public:
   explicit ClientTtlPolicy(const ClientTtlLimits& limits);
 
-  // `vouched`: the operator says that it asks the governor without a cache between.
-  void add_known(ProxyId client, bool vouched);
+  // `trusted`: the operator says that it asks the governor without a cache between.
+  void add_known(ProxyId client, bool trusted);
   // Each class has a name of its own, and an answer of its own that may be held on to.
   TtlDecision on_query(Nanos now, ProxyId client, ClassId cls);
   // Its report came: it lives.
@@ -55,7 +55,7 @@
   // Those that fell silent and have left; each is named once.
   std::vector<ProxyId> take_silent(Nanos now);
   // Whether operations may be sent through it: it has joined and is held to the grace.
-  bool is_held(ProxyId client) const;
+  bool is_joined(ProxyId client) const;
 
  private:
   struct Answer {
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -18,9 +18,9 @@
                     const routing_state::ProxySnapshot& proxy_snapshot,
                     const routing_state::TrafficPolicy& terms) {
   char level[32];
-  std::snprintf(level, sizeof(level), "level=%.4f", terms.level);
-  Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(proxy_snapshot.since)), level,
-           std::string("retry=") + delivery::name_of(terms.retry)}};
+  std::snprintf(level, sizeof(level), "level=%.4f", terms.admitted_fraction);
+  Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(proxy_snapshot.changed_in)),
+           level, std::string("retry=") + delivery::name_of(terms.retry)}};
   return {question.asked, lifetime, std::move(txt)};
 }
 
@@ -95,7 +95,7 @@
     return address(question, proxies_[static_cast<std::size_t>(proxy->proxy)].entry, longest_);
   const auto directory = core_.directory();
   const auto* place = directory->find(std::get<ReplicaHost>(meaning).replica);
-  if (!place || place->gone) return nothing(Code::no_name);
+  if (!place || place->removed) return nothing(Code::no_name);
   return address(question, place->address, kNegativeLifetime);
 }
 
@@ -152,18 +152,18 @@
     return reply;
   }
   const auto& view = *proxy_snapshot->routing_tables[static_cast<std::size_t>(asked.cls)];
-  if (view.lines.empty()) return nothing(Code::ok);
-  const auto lifetime = told.ttl_decision.lifetime.count();
-  const auto terms =
-      terms_record(question, lifetime, *proxy_snapshot, view.terms[static_cast<std::size_t>(asked.cls)]);
+  if (view.entries.empty()) return nothing(Code::ok);
+  const auto lifetime = told.ttl_decision.ttl.count();
+  const auto terms = terms_record(question, lifetime, *proxy_snapshot,
+                                  view.traffic_policies[static_cast<std::size_t>(asked.cls)]);
   if (wants(question, Type::txt)) reply.answers.push_back(terms);
   if (!wants(question, Type::srv)) return reply;
   std::vector<double> weights;
-  for (const auto& line : view.lines) weights.push_back(line.weight);
+  for (const auto& line : view.entries) weights.push_back(line.weight);
   const auto units = to_srv_weights(weights);
   if (question.type == Type::srv) reply.additional.push_back(terms);
-  for (std::size_t n = 0; n < view.lines.size(); ++n) {
-    const auto& place = told.directory->place(view.lines[n].replica);
+  for (std::size_t n = 0; n < view.entries.size(); ++n) {
+    const auto& place = told.directory->endpoint(view.entries[n].replica);
     const auto target = catalogue_.replica_host(place.name);
     reply.answers.push_back({question.asked, lifetime, Srv{0, units[n], place.address.port, target}});
     reply.additional.push_back({target, lifetime, place.address});
@@ -181,8 +181,8 @@
 // The proxies of the asker's own zone come first; those of others only when none of these answers.
 void Responder::add_entries(Reply& reply, const Question& question, const delivery::PullAnswer& told,
                             std::optional<ZoneId> own_zone) const {
-  const auto lifetime = told.ttl_decision.lifetime.count();
-  for (const auto& entry : told.entries) {
+  const auto lifetime = told.ttl_decision.ttl.count();
+  for (const auto& entry : told.fallback_proxies) {
     const auto target = catalogue_.proxy_host(entry.proxy);
     const std::uint16_t priority = entry.zone == own_zone ? 0 : 1;
     reply.answers.push_back({question.asked, lifetime, Srv{priority, 1, entry.address.port, target}});
--- a/src/files/pusher.cpp
+++ b/src/files/pusher.cpp
@@ -25,18 +25,18 @@
 Generation generation_of(const config::Config& config, const delivery::PushMessage& push) {
   Generation generation;
   generation.owner = push.owner;
-  generation.stamp = {push.epoch, static_cast<std::uint64_t>(push.proxy_snapshot->since)};
+  generation.stamp = {push.epoch, static_cast<std::uint64_t>(push.proxy_snapshot->changed_in)};
   generation.lease_ms = static_cast<std::uint64_t>(config.files.lease / 1ms);
-  generation.out = push.out;
+  generation.out = push.ejected;
   std::set<std::string> names;
   for (std::size_t k = 0; k < push.proxy_snapshot->routing_tables.size(); ++k) {
     const auto& view = push.proxy_snapshot->routing_tables[k];
     if (!view) continue;
-    const Terms terms{generation.stamp.version, view->terms[k].level,
-                      delivery::name_of(view->terms[k].retry)};
+    const Terms terms{generation.stamp.version, view->traffic_policies[k].admitted_fraction,
+                      delivery::name_of(view->traffic_policies[k].retry)};
     std::vector<Endpoint> endpoints;
-    for (const auto& line : view->lines) {
-      const auto& place = push.directory->place(line.replica);
+    for (const auto& line : view->entries) {
+      const auto& place = push.directory->endpoint(line.replica);
       endpoints.push_back({place.name, place.zone, place.address, line.weight});
       names.insert(place.name);
     }
@@ -110,7 +110,7 @@
       const auto [delivery, state] = deliver(push, until);
       switch (delivery) {
         case Delivery::taken:
-          core_.on_push_confirmed(push.proxy, push.proxy_snapshot->since);
+          core_.on_push_confirmed(push.proxy, push.proxy_snapshot->changed_in);
           break;
         case Delivery::unconfirmed:
           core_.on_push_failed(push.proxy, "its reader has not confirmed");
@@ -176,12 +176,12 @@
   const auto& proxy = config_.proxies.known[static_cast<std::size_t>(push.proxy)];
   const auto generation = generation_of(config_, push);
   if (auto* shelf = shelf_of(proxy)) {
-    const auto delivery = shelf->put(generation, push.recall, until);
+    const auto delivery = shelf->put(generation, push.overrides_rollback, until);
     return {delivery, delivery == Delivery::older ? shelf->state() : State{}};
   }
   http::Request request;
   request.method = "PUT";
-  request.target = push.recall ? "/generation?recall" : "/generation";
+  request.target = push.overrides_rollback ? "/generation?recall" : "/generation";
   request.content_type = "application/json";
   request.body = write_generation(generation);
   const auto answer = http::fetch(*proxy.receiver, request, until);
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -93,17 +93,18 @@
 
 // --- Orders
 
-void Service::on_published(Nanos, const std::optional<routing_state::RoutingState::Published>& published,
+void Service::on_published(Nanos, const std::optional<routing_state::RoutingState::Publication>& published,
                            const std::vector<std::pair<AckRequestId, bool>>& marks) {
   {
     const std::lock_guard held(lock_);
     if (published) {
-      version_ = published->version;
-      for (const auto& pending : published->pending)
+      version_ = published->snapshot;
+      for (const auto& pending : published->changes)
         channel_.on_published(pending.proxy, version_->snapshot_of(pending.proxy));
     }
     for (const auto& [mark, reach_all] : marks) {
-      for (const auto proxy : version_->marked(reach_all)) channel_.marked(proxy, mark, reach_all);
+      for (const auto proxy : version_->acknowledgement_recipients(reach_all))
+        channel_.marked(proxy, mark, reach_all);
     }
   }
   if (streams_) streams_->wake();
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -37,7 +37,7 @@
   void stop();
 
  private:
-  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<std::pair<AckRequestId, bool>>& marks) override;
   void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -38,7 +38,7 @@
 
 const Lines& lines_of(const std::shared_ptr<const routing_state::RoutingTable>& view) {
   static const Lines none;
-  return view ? view->lines : none;
+  return view ? view->entries : none;
 }
 
 bool have_same_lines(const std::shared_ptr<const routing_state::RoutingTable>& a,
@@ -109,7 +109,7 @@
       done[other] = true;
     }
     part.full = !before.ours;
-    part.lines = differences(part.full ? Lines{} : lines_of(before.view), view->lines);
+    part.lines = differences(part.full ? Lines{} : lines_of(before.view), view->entries);
     for (const auto other : part.classes) {
       auto& written = proxy.written[other];
       // A whole table brings its classes back to the usual levels.
@@ -125,14 +125,15 @@
   std::vector<bool> done(classes_.size());
   const auto differs = [&](std::size_t k) {
     return !done[k] && proxy.wanted->routing_tables[k] &&
-           proxy.wanted->routing_tables[k]->terms[k] != proxy.written[k].terms;
+           proxy.wanted->routing_tables[k]->traffic_policies[k] != proxy.written[k].terms;
   };
   for (std::size_t k = 0; k < classes_.size(); ++k) {
     if (!differs(k)) continue;
     Part part;
-    part.terms = &proxy.wanted->routing_tables[k]->terms[k];
+    part.terms = &proxy.wanted->routing_tables[k]->traffic_policies[k];
     for (std::size_t other = k; other < classes_.size(); ++other) {
-      if (!differs(other) || proxy.wanted->routing_tables[other]->terms[other] != *part.terms) continue;
+      if (!differs(other) || proxy.wanted->routing_tables[other]->traffic_policies[other] != *part.terms)
+        continue;
       part.classes.push_back(other);
       done[other] = true;
     }
@@ -204,7 +205,7 @@
       }
       if (!lines.empty()) field("endpoints", std::move(lines));
       if (part.terms && at == part.lines.size()) {
-        field("admit", part.terms->level > 0 ? figure(part.terms->level) : "0");
+        field("admit", part.terms->admitted_fraction > 0 ? figure(part.terms->admitted_fraction) : "0");
         field("policy", std::to_string(static_cast<int>(part.terms->retry)));
         message.lines += part.classes.size();
       }
@@ -250,9 +251,9 @@
     const bool held = std::any_of(
         routing_tables.begin(), routing_tables.end(), [&](const routing_state::RoutingTable* view) {
           const auto line = std::lower_bound(
-              view->lines.begin(), view->lines.end(), replica,
+              view->entries.begin(), view->entries.end(), replica,
               [](const routing_state::TableEntry& one, ReplicaId id) { return one.replica < id; });
-          return line != view->lines.end() && line->replica == replica;
+          return line != view->entries.end() && line->replica == replica;
         });
     if (!held) found.push_back(replica);
   }
--- a/src/routing_state/lease_table.cpp
+++ b/src/routing_state/lease_table.cpp
@@ -4,18 +4,18 @@
 
 namespace ospreypost::routing_state {
 
-LeaseTable::Standing LeaseTable::observe(ProxyId proxy, const RemoteState& met) {
+LeaseTable::Ownership LeaseTable::observe(ProxyId proxy, const RemoteState& met) {
   auto [known, first] = epochs_.try_emplace(proxy, start_);
   auto& epoch = known->second;
   if (first) {
-    if (met.any) epoch = std::max(epoch, met.epoch + 1);
-    return Standing::claimed;
+    if (met.has_table) epoch = std::max(epoch, met.epoch + 1);
+    return Ownership::claimed;
   }
-  if (!met.any || met.epoch < epoch) return Standing::ours;
-  if (met.owner == owner_ && met.epoch == epoch) return Standing::ours;
-  if (!met.stale) return Standing::theirs;
+  if (!met.has_table || met.epoch < epoch) return Ownership::ours;
+  if (met.owner == owner_ && met.epoch == epoch) return Ownership::ours;
+  if (!met.lease_expired) return Ownership::theirs;
   epoch = met.epoch + 1;
-  return Standing::claimed;
+  return Ownership::claimed;
 }
 
 std::uint64_t LeaseTable::epoch(ProxyId proxy) const {
--- a/src/routing_state/lease_table.h
+++ b/src/routing_state/lease_table.h
@@ -20,11 +20,11 @@
 
 // What lies at a proxy, as it says itself.
 struct RemoteState {
-  bool any = false;  // something does
+  bool has_table = false;  // something does
   std::uint64_t epoch = 0;
   SnapshotVersion version{};
-  std::string owner;   // the process that ordered it
-  bool stale = false;  // nobody who holds it has spoken within its lease
+  std::string owner;           // the process that ordered it
+  bool lease_expired = false;  // nobody who holds it has spoken within its lease
   // After a way back by hand: the replicas that it goes by instead of the newest's, by name.
   std::vector<std::string> rolled_back_to;
 };
@@ -34,12 +34,12 @@
   // `start`: epochs of first claims are at least this; `owner`: names this process alone.
   LeaseTable(std::uint64_t start, std::string owner) : start_(start), owner_(std::move(owner)) {}
 
-  enum class Standing {
+  enum class Ownership {
     ours,     // goes on
     claimed,  // ours from now on; what lies there is not of this claim
     theirs,
   };
-  Standing observe(ProxyId proxy, const RemoteState& met);
+  Ownership observe(ProxyId proxy, const RemoteState& met);
   // To order by; 0 before the first claim.
   std::uint64_t epoch(ProxyId proxy) const;
   const std::string& owner() const { return owner_; }
--- a/src/routing_state/pull_delivery.h
+++ b/src/routing_state/pull_delivery.h
@@ -17,7 +17,7 @@
 namespace ospreypost::routing_state {
 
 struct ChannelLimits {
-  double head_lines = 0;                    // of each message
+  double message_overhead_entries = 0;      // of each message
   std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
 };
@@ -39,19 +39,19 @@
 
   void request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with,
                                const std::vector<ProxyId>& by);
-  struct Reached {
-    AckRequestId mark{};
+  struct Acknowledgement {
+    AckRequestId request{};
     ProxyId proxy{};
-    Nanos took{};
+    Nanos latency{};
   };
   // The marks that the proxy has reached with what it was last given, each told once.
-  std::vector<Reached> take_acknowledged(Nanos now, ProxyId proxy);
+  std::vector<Acknowledgement> take_acknowledged(Nanos now, ProxyId proxy);
 
   struct Counts {
-    double waiting = 0;          // lines
-    double worst_waiting = 0;    // lines, since the start
-    std::uint64_t messages = 0;  // since the start
-    std::uint64_t held_back =
+    double queued_entries = 0;
+    double max_queued_entries = 0;  //, since the start
+    std::uint64_t messages = 0;     // since the start
+    std::uint64_t rate_limited_queries =
         0;  // questions answered with what was known, or not at all, for want of a token
   };
   const Counts& counts() const { return counts_; }
@@ -77,13 +77,13 @@
 };
 
 // The lines that the whole of a holding takes, terms included.
-std::size_t size_of(const ProxySnapshot& proxy_snapshot);
+std::size_t entry_count(const ProxySnapshot& proxy_snapshot);
 // What waits for a proxy when `lines` more come to `waiting` that do: merged, so that it never passes what
 // the whole of its tables would be, head included.
-double merged(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines);
+double merged_queue_size(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines);
 
 // Whether a proxy that goes on with `given` could send where `standing` would not let it: to a replica that
 // is no longer there, or with less than half of its former weight.
-bool presses(const ProxySnapshot& given, const ProxySnapshot& standing);
+bool requires_urgent_update(const ProxySnapshot& given, const ProxySnapshot& standing);
 
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/push_scheduler.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -32,7 +32,7 @@
   auto& proxy = proxies_.at(id);
   wait(proxy, 0);
   // Who has a table had messages of somebody: of this process before it gave up, of another, of its own past.
-  const auto bucket = fresh ? proxy.bucket : limit_.unknown(now, limits_.press_most / 3);
+  const auto bucket = fresh ? proxy.bucket : limit_.unknown(now, limits_.urgent_change_timeout / 3);
   proxy = Proxy{};
   proxy.joined = true;
   proxy.fresh = fresh;
@@ -43,7 +43,7 @@
 bool PushScheduler::on_liveness(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
   const auto& proxy = proxies_.at(id);
   const auto is = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
-    return version ? proxy_snapshot && proxy_snapshot->since == *version : !proxy_snapshot;
+    return version ? proxy_snapshot && proxy_snapshot->changed_in == *version : !proxy_snapshot;
   };
   // Before the first push it goes by what it came with, and is waited for like that.
   const bool untouched = !proxy.given && !proxy.sent;
@@ -56,15 +56,15 @@
 }
 
 void PushScheduler::wait(Proxy& proxy, double lines) {
-  counts_.waiting += lines - proxy.waiting;
+  counts_.queued_entries += lines - proxy.waiting;
   proxy.waiting = lines;
-  counts_.worst_waiting = std::max(counts_.worst_waiting, counts_.waiting);
+  counts_.max_queued_entries = std::max(counts_.max_queued_entries, counts_.queued_entries);
 }
 
 // A withdrawal presses from when it was ordered, until it is confirmed or taken back.
 void PushScheduler::press(Nanos now, Proxy& proxy) const {
-  const bool by_given = proxy.given ? presses(*proxy.given, *proxy.standing) : !proxy.fresh;
-  const bool by_sent = proxy.sent && presses(*proxy.sent, *proxy.standing);
+  const bool by_given = proxy.given ? requires_urgent_update(*proxy.given, *proxy.standing) : !proxy.fresh;
+  const bool by_sent = proxy.sent && requires_urgent_update(*proxy.sent, *proxy.standing);
   const bool presses = by_given || by_sent || proxy.recall;
   if (!presses) proxy.pressing_since.reset();
   if (presses && !proxy.pressing_since) proxy.pressing_since = now;
@@ -99,7 +99,7 @@
   if (known == proxies_.end() || !known->second.joined) return;
   auto& proxy = known->second;
   proxy.standing = std::move(proxy_snapshot);
-  wait(proxy, merged(proxy.waiting, lines, *proxy.standing, limits_.head_lines));
+  wait(proxy, merged_queue_size(proxy.waiting, lines, *proxy.standing, limits_.message_overhead_entries));
   const bool pressed = proxy.pressing_since.has_value();
   press(now, proxy);
   // A new withdrawal does not sit out the pause of an old failure.
@@ -113,7 +113,7 @@
   for (auto& entry : proxies_) {
     auto& proxy = entry.second;
     if (proxy.under_way || now < proxy.not_before) continue;
-    const bool quiet = now >= proxy.spoke + limits_.renew;
+    const bool quiet = now >= proxy.spoke + limits_.liveness_interval;
     int kind = !wants(proxy) ? 3 : !proxy.given ? 1 : proxy.pressing_since ? 0 : 2;
     // What was sent before and may have arrived is no new message.
     const bool again = proxy.sent == proxy.standing && !proxy.recall;
@@ -131,7 +131,7 @@
   if (std::get<0>(best_rank) == 3) return PendingPush{best->first, nullptr, false};
   if (proxy.sent != proxy.standing || proxy.recall) {
     TokenBucketLimiter::take(proxy.bucket);
-    channel_free_ = std::max(channel_free_, now) + nanos(proxy.waiting / limits_.lines_per_second);
+    channel_free_ = std::max(channel_free_, now) + nanos(proxy.waiting / limits_.entries_per_second);
   }
   proxy.sent = proxy.standing;
   ++counts_.pushes;
@@ -143,7 +143,7 @@
   for (const auto& [id, proxy] : proxies_) {
     if (proxy.under_way) continue;
     Nanos at = proxy.not_before;
-    if (proxy.joined && !wants(proxy)) at = std::max(at, proxy.spoke + limits_.renew);
+    if (proxy.joined && !wants(proxy)) at = std::max(at, proxy.spoke + limits_.liveness_interval);
     const bool urgent = proxy.given && proxy.pressing_since;
     if (wants(proxy) && !urgent) at = std::max(at, channel_free_);
     // Nothing else holds it up, so a token does.
@@ -162,7 +162,7 @@
   proxy.pause = Nanos{};
   proxy.not_before = now;
   // A confirmation of something older, late or twice, tells that it lives and no more.
-  if (!proxy.sent || proxy.sent->since != since) return;
+  if (!proxy.sent || proxy.sent->changed_in != since) return;
   proxy.given = proxy.sent;
   proxy.rolled_back_to.clear();
   proxy.recall = false;
@@ -183,9 +183,9 @@
 std::vector<ProxyId> PushScheduler::take_lost(Nanos now) {
   std::vector<ProxyId> given_up;
   for (auto& [id, proxy] : proxies_) {
-    const bool unheld = proxy.pressing_since && now >= *proxy.pressing_since + limits_.press_most;
+    const bool unheld = proxy.pressing_since && now >= *proxy.pressing_since + limits_.urgent_change_timeout;
     // Long silence is no withdrawal, but one could not be brought to it either.
-    const bool silent = now >= proxy.spoke + limits_.press_most + 2 * limits_.renew;
+    const bool silent = now >= proxy.spoke + limits_.urgent_change_timeout + 2 * limits_.liveness_interval;
     if (!proxy.joined || !(unheld || silent)) continue;
     given_up.push_back(id);
     give_up(proxy);
@@ -210,7 +210,7 @@
   known->second.not_before = now + kPauseMost;
 }
 
-bool PushScheduler::is_held(ProxyId id) const {
+bool PushScheduler::is_joined(ProxyId id) const {
   const auto known = proxies_.find(id);
   return known != proxies_.end() && known->second.joined;
 }
--- a/src/routing_state/push_scheduler.h
+++ b/src/routing_state/push_scheduler.h
@@ -18,18 +18,18 @@
 namespace ospreypost::routing_state {
 
 struct PushLimits {
-  double head_lines = 0;                    // of each message
-  double lines_per_second = 1;              // of the channel; withdrawals do not wait for it
+  double message_overhead_entries = 0;      // of each message
+  double entries_per_second = 1;            // of the channel; withdrawals do not wait for it
   std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
   Nanos window{};
-  Nanos press_most{};  // that a withdrawal may stay unconfirmed: the grace less the way there
-  Nanos renew{};       // between two signs of life to a proxy that nothing is ordered for
+  Nanos urgent_change_timeout{};  // that a withdrawal may stay unconfirmed: the grace less the way there
+  Nanos liveness_interval{};      // between two signs of life to a proxy that nothing is ordered for
 };
 
 struct PendingPush {
   ProxyId proxy{};
   std::shared_ptr<const ProxySnapshot> proxy_snapshot;
-  bool recall = false;  // in place of what somebody went back to by hand
+  bool overrides_rollback = false;  // in place of what somebody went back to by hand
 };
 
 class PushScheduler {
@@ -64,10 +64,10 @@
   void on_rejected(Nanos now, ProxyId proxy);
   // Those that are given up on; each is named once.
   std::vector<ProxyId> take_lost(Nanos now);
-  bool is_held(ProxyId proxy) const;
+  bool is_joined(ProxyId proxy) const;
 
   struct Counts {
-    double waiting = 0, worst_waiting = 0;  // lines
+    double queued_entries = 0, max_queued_entries = 0;  // lines
     std::uint64_t pushes = 0, failures = 0;
   };
   const Counts& counts() const { return counts_; }
--- a/src/routing_state/routing_snapshot.h
+++ b/src/routing_state/routing_snapshot.h
@@ -20,35 +20,35 @@
 
 // How operations of one class are let in and tried again.
 struct TrafficPolicy {
-  double level = 1;  // 0 to 1: the share that is let in
+  double admitted_fraction = 1;  // 0 to 1: the share that is let in
   RetryMode retry = RetryMode::after_rejection_proof;
   bool operator==(const TrafficPolicy&) const = default;
 };
 
 // One table as it may be used: without what is withdrawn, by ascending replica.
 struct RoutingTable {
-  std::vector<TableEntry> lines;
-  std::vector<TrafficPolicy> terms;  // by class
+  std::vector<TableEntry> entries;
+  std::vector<TrafficPolicy> traffic_policies;  // by class
   bool operator==(const RoutingTable&) const = default;
 };
 
 // What one proxy is to hold: a view for each class; null where it is bound to no table for that class.
 struct ProxySnapshot {
-  SnapshotVersion since{};  // the version that last changed it
+  SnapshotVersion changed_in{};  // the version that last changed it
   std::vector<std::shared_ptr<const RoutingTable>> routing_tables;
 };
 
 struct RoutingSnapshot {
-  SnapshotVersion number{};
-  Nanos at{};
+  SnapshotVersion version{};
+  Nanos created{};
   std::vector<std::pair<ProxyId, std::shared_ptr<const ProxySnapshot>>>
       proxy_snapshots;  // by ascending proxy
 
   // Who a mark made with this version asks for an answer: whom it changed, or everybody.
-  std::vector<ProxyId> marked(bool reach_all) const {
+  std::vector<ProxyId> acknowledgement_recipients(bool reach_all) const {
     std::vector<ProxyId> by;
     for (const auto& [proxy, proxy_snapshot] : proxy_snapshots) {
-      if (reach_all || proxy_snapshot->since == number) by.push_back(proxy);
+      if (reach_all || proxy_snapshot->changed_in == version) by.push_back(proxy);
     }
     return by;
   }
--- a/src/routing_state/routing_state.cpp
+++ b/src/routing_state/routing_state.cpp
@@ -77,13 +77,14 @@
 
 RoutingTable RoutingState::view_of(const Table& table) const {
   RoutingTable view{{}, terms_};
-  view.lines.reserve(table.lines.size());
+  view.entries.reserve(table.lines.size());
   for (const auto& [replica, weight] : table.lines) {
-    if (!withdrawn_.contains(replica)) view.lines.push_back({replica, weight});
+    if (!withdrawn_.contains(replica)) view.entries.push_back({replica, weight});
   }
   // Where both are set the lower level holds, and the table's own way to try again.
   for (const auto& [k, own] : table.terms)
-    view.terms[k] = {std::min(own.level, view.terms[k].level), own.retry};
+    view.traffic_policies[k] = {std::min(own.admitted_fraction, view.traffic_policies[k].admitted_fraction),
+                                own.retry};
   return view;
 }
 
@@ -94,7 +95,7 @@
   return true;
 }
 
-std::optional<RoutingState::Published> RoutingState::publish(Nanos now) {
+std::optional<RoutingState::Publication> RoutingState::publish(Nanos now) {
   std::set<TableId> renewed;
   for (const auto id : touched_) {
     if (renew(tables_.at(id))) renewed.insert(id);
@@ -107,10 +108,10 @@
 
   last_ = SnapshotVersion{static_cast<std::uint64_t>(last_) + 1};
   auto version = std::make_shared<RoutingSnapshot>();
-  version->number = last_;
-  version->at = now;
+  version->version = last_;
+  version->created = now;
   version->proxy_snapshots.reserve(proxies_.size());
-  Published published;
+  Publication published;
   for (auto& [id, proxy] : proxies_) {
     std::set<TableId> own;
     for (const auto& table : proxy.tables) {
@@ -125,12 +126,12 @@
     }
     if (lines > 0) {
       auto proxy_snapshot = std::make_shared<ProxySnapshot>();
-      proxy_snapshot->since = last_;
+      proxy_snapshot->changed_in = last_;
       for (const auto& table : proxy.tables) {
         proxy_snapshot->routing_tables.push_back(table ? tables_.at(*table).view : nullptr);
       }
       proxy.proxy_snapshot = std::move(proxy_snapshot);
-      published.pending.push_back({id, lines});
+      published.changes.push_back({id, lines});
     }
     if (proxy.proxy_snapshot) version->proxy_snapshots.emplace_back(id, proxy.proxy_snapshot);
   }
@@ -138,7 +139,7 @@
   touched_.clear();
   rebound_.clear();
   members_changed_ = false;
-  published.version = std::move(version);
+  published.snapshot = std::move(version);
   return published;
 }
 
--- a/src/routing_state/routing_state.h
+++ b/src/routing_state/routing_state.h
@@ -28,16 +28,16 @@
   bool has_changes() const { return !touched_.empty() || !rebound_.empty() || members_changed_; }
 
   // What changed for a proxy with a version, in lines as a message would carry them.
-  struct Pending {
+  struct ProxyChange {
     ProxyId proxy{};
-    std::size_t lines = 0;
+    std::size_t entries = 0;
   };
-  struct Published {
-    std::shared_ptr<const RoutingSnapshot> version;
-    std::vector<Pending> pending;  // by ascending proxy
+  struct Publication {
+    std::shared_ptr<const RoutingSnapshot> snapshot;
+    std::vector<ProxyChange> changes;  // by ascending proxy
   };
   // The orders since the last call as one version; empty if they changed nothing that anybody may use.
-  std::optional<Published> publish(Nanos now);
+  std::optional<Publication> publish(Nanos now);
 
  private:
   struct Table {
--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -93,14 +93,12 @@
     auto proxy_snapshot = pull_delivery_.take_answer(now, proxy);
     for (const auto& mark : pull_delivery_.take_acknowledged(now, proxy)) {
       call([&](Controller& governor, Nanos at) {
-        governor.on_acknowledged(at, mark.proxy, mark.mark, mark.took);
+        governor.on_acknowledged(at, mark.proxy, mark.request, mark.latency);
       });
     }
     return proxy_snapshot;
   }
-  Nanos lifetime(ProxyId proxy, ClassId cls) {
-    return ttl_policy_.on_query(clock_.now(), proxy, cls).lifetime;
-  }
+  Nanos lifetime(ProxyId proxy, ClassId cls) { return ttl_policy_.on_query(clock_.now(), proxy, cls).ttl; }
   const routing_state::PullDelivery::Counts& counts() const { return pull_delivery_.counts(); }
   const routing_state::RoutingSnapshot* version() const { return version_.get(); }
 
@@ -111,12 +109,14 @@
   void publish() {
     const auto now = clock_.now();
     if (const auto published = routing_state_.publish(now)) {
-      version_ = published->version;
-      for (const auto& pending : published->pending)
-        pull_delivery_.on_published(now, pending.proxy, version_->snapshot_of(pending.proxy), pending.lines);
+      version_ = published->snapshot;
+      for (const auto& pending : published->changes)
+        pull_delivery_.on_published(now, pending.proxy, version_->snapshot_of(pending.proxy),
+                                    pending.entries);
     }
     for (const auto& [mark, reach_all] : std::exchange(marks_, {}))
-      pull_delivery_.request_acknowledgement(now, mark, version_->number, version_->marked(reach_all));
+      pull_delivery_.request_acknowledgement(now, mark, version_->version,
+                                             version_->acknowledgement_recipients(reach_all));
   }
 
   void set_table_entry(TableId table, ReplicaId replica, double weight) override {
@@ -241,7 +241,7 @@
   void note_counts() {
     if (!governing_) return;
     played_.messages += governing_->counts().messages;
-    played_.worst_waiting = std::max(played_.worst_waiting, governing_->counts().worst_waiting);
+    played_.worst_waiting = std::max(played_.worst_waiting, governing_->counts().max_queued_entries);
   }
 
   void plan_lists() {
@@ -339,11 +339,11 @@
     checker::Answered answered{clock_.now(),
                                proxy_name(id),
                                deployment_.classes[index(cls)],
-                               static_cast<std::uint64_t>(proxy_snapshot.since),
+                               static_cast<std::uint64_t>(proxy_snapshot.changed_in),
                                {},
                                true};
     if (view) {
-      for (const auto& line : view->lines) answered.names.push_back(name(line.replica));
+      for (const auto& line : view->entries) answered.names.push_back(name(line.replica));
     }
     table = view;
     trace_.add(std::move(answered));
@@ -396,7 +396,7 @@
     auto& proxy = proxies_[index(running->proxy)];
     ++proxy.asked[index(running->cls)].operations;
     const auto& table = proxy.tables[index(running->cls)];
-    const double level = table ? table->terms[index(running->cls)].level : 1;
+    const double level = table ? table->traffic_policies[index(running->cls)].admitted_fraction : 1;
     boost::random::uniform_real_distribution<double> share(0, 1);
     running->tried.clear();
     if (share(chance_) >= level) return unserved(running, Outcome::refused, false);
@@ -406,7 +406,7 @@
   void try_one(const RunningPtr& running, Outcome before) {
     // By the table of its own moment.
     const auto table = proxies_[index(running->proxy)].tables[index(running->cls)];
-    const auto retry = table ? table->terms[index(running->cls)].retry : RetryMode::none;
+    const auto retry = table ? table->traffic_policies[index(running->cls)].retry : RetryMode::none;
     const std::size_t most = retry == RetryMode::twice ? 3 : retry == RetryMode::none ? 1 : 2;
     const auto target = table && running->tried.size() < most && clock_.now() < running->until
                             ? pick(*table, running->tried)
@@ -449,11 +449,11 @@
     const auto may = [&](const routing_state::TableEntry& line) {
       return std::find(tried.begin(), tried.end(), line.replica) == tried.end();
     };
-    for (const auto& line : view.lines) sum += may(line) ? line.weight : 0;
+    for (const auto& line : view.entries) sum += may(line) ? line.weight : 0;
     if (sum <= 0) return std::nullopt;
     double at = boost::random::uniform_real_distribution<double>(0, sum)(chance_);
     std::optional<ReplicaId> last;
-    for (const auto& line : view.lines) {
+    for (const auto& line : view.entries) {
       if (!may(line)) continue;
       last = line.replica;
       at -= line.weight;
@@ -599,9 +599,9 @@
       for (const auto& view : proxy_snapshot->routing_tables) {
         if (!view) continue;
         double sum = 0;
-        for (const auto& line : view->lines) sum += line.weight;
-        for (const auto& line : view->lines) shares.of[index(line.replica)] += line.weight / sum;
-        all += view->lines.empty() ? 0 : 1;
+        for (const auto& line : view->entries) sum += line.weight;
+        for (const auto& line : view->entries) shares.of[index(line.replica)] += line.weight / sum;
+        all += view->entries.empty() ? 0 : 1;
       }
     }
     for (auto& share : shares.of) share = all > 0 ? share / all : 0;
--- a/tests/program/client_ttl_policy_test.cpp
+++ b/tests/program/client_ttl_policy_test.cpp
@@ -32,7 +32,7 @@
   for (int n = 0; n < 40; ++n) {
     clients.take_silent(now);
     const auto ttl_decision = clients.on_query(now, kClient, kClass);
-    const auto hold = held(ttl_decision.lifetime, factor, extra);
+    const auto hold = held(ttl_decision.ttl, factor, extra);
     beyond += ttl_decision.service == ClientService::replicas && hold > kHoldMost;
     now += hold + std::chrono::milliseconds(*rc::gen::inRange(0, 40));
   }
@@ -47,9 +47,9 @@
   for (int n = 0; n < 60; ++n) {
     const auto ttl_decision = clients.on_query(now, kClient, kClass);
     RC_ASSERT((ttl_decision.service == ClientService::replicas) == (vouched || n >= 3));
-    RC_ASSERT(ttl_decision.joins == (n == (vouched ? 0 : 3)));
-    RC_ASSERT(Nanos(ttl_decision.lifetime) <= kHoldMost);
-    now += Nanos(ttl_decision.lifetime) + std::chrono::milliseconds(*rc::gen::inRange(0, 50));
+    RC_ASSERT(ttl_decision.client_joined == (n == (vouched ? 0 : 3)));
+    RC_ASSERT(Nanos(ttl_decision.ttl) <= kHoldMost);
+    now += Nanos(ttl_decision.ttl) + std::chrono::milliseconds(*rc::gen::inRange(0, 50));
   }
 }
 
@@ -59,8 +59,8 @@
   EXPECT_EQ(clients.on_query(10s, kClient, kClass).service, ClientService::replicas);
   const auto late = clients.on_query(14900ms, kClient, kClass);
   EXPECT_EQ(late.service, ClientService::proxies);
-  EXPECT_TRUE(late.leaves);
-  EXPECT_FALSE(clients.is_held(kClient));
+  EXPECT_TRUE(late.client_left);
+  EXPECT_FALSE(clients.is_joined(kClient));
   Nanos now = 14900ms;
   int asked = 0;
   for (auto ttl_decision = late; ttl_decision.service != ClientService::replicas && asked < 10000; ++asked) {
@@ -91,8 +91,8 @@
   const auto first = clients.on_query(100s, kClient, kClass);
   const auto second = clients.on_query(20s, kClient, kClass);
   EXPECT_EQ(second.service, ClientService::replicas);
-  EXPECT_EQ(second.lifetime, first.lifetime);
-  EXPECT_EQ(clients.on_query(100s + first.lifetime, kClient, kClass).service, ClientService::replicas);
+  EXPECT_EQ(second.ttl, first.ttl);
+  EXPECT_EQ(clients.on_query(100s + first.ttl, kClient, kClass).service, ClientService::replicas);
 }
 
 TEST(ClientTtlPolicy, EachNameIsWatchedByItself) {
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -48,8 +48,8 @@
     delivery::EndpointDirectory made;
     for (int n = 0; n < 200; ++n) {
       const auto name = "unit-" + std::to_string(n);
-      made.by_name[name] = ReplicaId{static_cast<std::uint32_t>(n)};
-      made.replicas.push_back(
+      made.ids_by_name[name] = ReplicaId{static_cast<std::uint32_t>(n)};
+      made.endpoints.push_back(
           {name, "east", {n == 3 ? "::1" : "127.0.0.9", static_cast<std::uint16_t>(9000 + n)}, n == 2});
     }
     directory_ = std::make_shared<delivery::EndpointDirectory>(std::move(made));
@@ -57,10 +57,10 @@
   }
   void hold(std::uint32_t lines) {
     auto view = std::make_shared<routing_state::RoutingTable>();
-    for (std::uint32_t id = 0; id < lines; ++id) view->lines.push_back({ReplicaId{id}, id + 1.0});
-    view->terms = {{0.5, RetryMode::once}, {1, RetryMode::after_rejection_proof}};
+    for (std::uint32_t id = 0; id < lines; ++id) view->entries.push_back({ReplicaId{id}, id + 1.0});
+    view->traffic_policies = {{0.5, RetryMode::once}, {1, RetryMode::after_rejection_proof}};
     auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
-    proxy_snapshot->since = routing_state::SnapshotVersion{5};
+    proxy_snapshot->changed_in = routing_state::SnapshotVersion{5};
     proxy_snapshot->routing_tables = {view, view};
     const std::lock_guard held(lock);
     told.proxy_snapshot = proxy_snapshot;
@@ -144,8 +144,8 @@
 TEST(Responder, WhoCannotBeHeldGetsProxiesAndNeverReplicas) {
   Scene scene;
   scene.core.told.ttl_decision = {dns::ClientService::proxies, dns::Ttl{1}};
-  scene.core.told.entries = {{ProxyId{1}, ZoneId{1}, {"127.0.0.1", 7002}},
-                             {ProxyId{0}, ZoneId{0}, {"127.0.0.1", 7001}}};
+  scene.core.told.fallback_proxies = {{ProxyId{1}, ZoneId{1}, {"127.0.0.1", 7002}},
+                                      {ProxyId{0}, ZoneId{0}, {"127.0.0.1", 7001}}};
   const auto answer = scene.ask("_sign-job._tcp.forwarder-3.proxies.farm.example.");
   ASSERT_EQ(answer.answers.size(), 2U);
   EXPECT_EQ(std::get<Srv>(answer.answers[0].data).target, "forwarder-2.proxies.farm.example.");
@@ -164,7 +164,7 @@
   EXPECT_EQ(scene.ask(kName).id, 7);
   scene.core.hold(3);
   EXPECT_EQ(scene.ask(kName).answers.size(), 3U);
-  scene.core.told.ttl_decision.lifetime = dns::Ttl{1};
+  scene.core.told.ttl_decision.ttl = dns::Ttl{1};
   EXPECT_EQ(scene.ask(kName).answers[0].lifetime, 1U);
   scene.core.told.ttl_decision.service = dns::ClientService::proxies;
   EXPECT_TRUE(scene.ask(kName).answers.empty());
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -353,9 +353,9 @@
     if (*rc::gen::inRange(0, 3) > 0) continue;  // several calls, one message
     if (const auto published = book.publish(Nanos{})) {
       proxy_snapshots.clear();
-      for (const auto& [id, proxy_snapshot] : published->version->proxy_snapshots)
+      for (const auto& [id, proxy_snapshot] : published->snapshot->proxy_snapshots)
         proxy_snapshots[id] = proxy_snapshot;
-      for (const auto& pending : published->pending)
+      for (const auto& pending : published->changes)
         channel.on_published(pending.proxy, proxy_snapshots[pending.proxy]);
     }
     const auto due = channel.due_proxies();
@@ -375,11 +375,11 @@
         const auto view = proxy_snapshots[id]->routing_tables[k];
         if (!view) continue;
         std::map<std::string, double> lines;
-        for (const auto& line : view->lines) lines[std::string(name_of(line.replica))] = line.weight;
+        for (const auto& line : view->entries) lines[std::string(name_of(line.replica))] = line.weight;
         const auto& table = plain.tables.at(k == 0 ? "read" : "sign");
         RC_ASSERT(table.lines == lines);
-        RC_ASSERT(std::stod(table.terms.first) == view->terms[k].level);
-        RC_ASSERT(table.terms.second == std::to_string(static_cast<int>(view->terms[k].retry)));
+        RC_ASSERT(std::stod(table.terms.first) == view->traffic_policies[k].admitted_fraction);
+        RC_ASSERT(table.terms.second == std::to_string(static_cast<int>(view->traffic_policies[k].retry)));
       }
     }
   }
@@ -421,7 +421,7 @@
   EXPECT_EQ(channel.unheld(both), both);
   const auto order = [&](ReplicaId replica, double weight) {
     book.set_table_entry(TableId{0}, replica, weight);
-    channel.on_published(ProxyId{1}, book.publish(Nanos{})->version->snapshot_of(ProxyId{1}));
+    channel.on_published(ProxyId{1}, book.publish(Nanos{})->snapshot->snapshot_of(ProxyId{1}));
   };
   book.add_proxy(ProxyId{1});
   channel.joined(ProxyId{1});
--- a/tests/program/push_delivery_test.cpp
+++ b/tests/program/push_delivery_test.cpp
@@ -24,9 +24,9 @@
 std::shared_ptr<const ProxySnapshot> snapshot_of(std::uint64_t since,
                                                  std::initializer_list<std::uint32_t> replicas) {
   auto view = std::make_shared<RoutingTable>();
-  for (const auto id : replicas) view->lines.push_back({ReplicaId{id}, 1.0});
+  for (const auto id : replicas) view->entries.push_back({ReplicaId{id}, 1.0});
   auto proxy_snapshot = std::make_shared<ProxySnapshot>();
-  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->changed_in = SnapshotVersion{since};
   proxy_snapshot->routing_tables = {view};
   return proxy_snapshot;
 }
@@ -39,7 +39,7 @@
     EXPECT_FALSE(pushes.take_push(0s)->proxy_snapshot);
     pushes.on_joined(0s, proxy, true);
     pushes.on_published(0s, proxy, snapshot_of(1, {1, 2}), 3);
-    EXPECT_EQ(pushes.take_push(0s)->proxy_snapshot->since, SnapshotVersion{1});
+    EXPECT_EQ(pushes.take_push(0s)->proxy_snapshot->changed_in, SnapshotVersion{1});
     pushes.on_confirmed(10ms, proxy, SnapshotVersion{1});
   }
 };
@@ -58,7 +58,7 @@
   EXPECT_EQ(pushes.take_push(1200ms)->proxy, scene.proxy);
   // A confirmation of something older is none.
   pushes.on_confirmed(1300ms, scene.proxy, SnapshotVersion{1});
-  EXPECT_EQ(pushes.take_push(1301ms)->proxy_snapshot->since, SnapshotVersion{2});
+  EXPECT_EQ(pushes.take_push(1301ms)->proxy_snapshot->changed_in, SnapshotVersion{2});
   pushes.on_confirmed(1400ms, scene.proxy, SnapshotVersion{2});
   EXPECT_TRUE(pushes.take_lost(3600ms).empty());
 }
@@ -72,7 +72,7 @@
     EXPECT_TRUE(scene.pushes.take_lost(now).empty());
   }
   EXPECT_EQ(scene.pushes.take_lost(3600ms), std::vector{scene.proxy});
-  EXPECT_FALSE(scene.pushes.is_held(scene.proxy));
+  EXPECT_FALSE(scene.pushes.is_joined(scene.proxy));
   // It answers again, with an unknown table: the whole one must reach it in time as well.
   scene.pushes.on_joined(5s, scene.proxy, false);
   scene.pushes.on_published(5s, scene.proxy, snapshot_of(2, {1}), 3);
@@ -91,11 +91,11 @@
                                 1);
     }
     if (const auto offer = scene.pushes.take_push(now)) {
-      scene.pushes.on_confirmed(now, scene.proxy,
-                                offer->proxy_snapshot ? offer->proxy_snapshot->since : SnapshotVersion{});
+      scene.pushes.on_confirmed(
+          now, scene.proxy, offer->proxy_snapshot ? offer->proxy_snapshot->changed_in : SnapshotVersion{});
       spoke = now;
     }
-    EXPECT_LE(now - spoke, kLimits.renew);
+    EXPECT_LE(now - spoke, kLimits.liveness_interval);
   }
 }
 
@@ -107,7 +107,7 @@
   EXPECT_FALSE(pushes.take_push(4s)->proxy_snapshot);
   EXPECT_TRUE(pushes.on_liveness(4s, scene.proxy, std::nullopt));
   pushes.on_published(4s, scene.proxy, snapshot_of(1, {1, 2}), 3);
-  EXPECT_EQ(pushes.take_push(4s)->proxy_snapshot->since, SnapshotVersion{1});
+  EXPECT_EQ(pushes.take_push(4s)->proxy_snapshot->changed_in, SnapshotVersion{1});
 }
 
 // A way back by hand stands, until it would send to somebody who is out since.
@@ -124,8 +124,8 @@
   pushes.on_ejected(2100ms, {ReplicaId{2}, ReplicaId{3}});
   const auto offer = pushes.take_push(2100ms);
   ASSERT_TRUE(offer && offer->proxy_snapshot);
-  EXPECT_TRUE(offer->recall);
-  EXPECT_EQ(offer->proxy_snapshot->since, SnapshotVersion{2});
+  EXPECT_TRUE(offer->overrides_rollback);
+  EXPECT_EQ(offer->proxy_snapshot->changed_in, SnapshotVersion{2});
   pushes.on_failed(2200ms, scene.proxy);
   EXPECT_EQ(pushes.take_lost(4700ms), std::vector{scene.proxy});
 }
@@ -168,7 +168,7 @@
       if (!offer) continue;
       if (offer->proxy_snapshot) messages.push_back(now);
       pushes.on_confirmed(now, proxy,
-                          offer->proxy_snapshot ? offer->proxy_snapshot->since : SnapshotVersion{});
+                          offer->proxy_snapshot ? offer->proxy_snapshot->changed_in : SnapshotVersion{});
       while (!messages.empty() && messages.front() <= now - 10s) messages.pop_front();
       EXPECT_LE(messages.size(), kLimits.max_messages_per_window);
     }
@@ -181,9 +181,9 @@
   scene.pushes.on_published(1s, scene.proxy, snapshot_of(2, {1}), 1);
   scene.pushes.take_push(1s);
   scene.pushes.on_rejected(1s, scene.proxy);
-  EXPECT_FALSE(scene.pushes.is_held(scene.proxy));
+  EXPECT_FALSE(scene.pushes.is_joined(scene.proxy));
   EXPECT_FALSE(scene.pushes.take_push(1500ms));
-  EXPECT_EQ(scene.pushes.counts().waiting, 0);
+  EXPECT_EQ(scene.pushes.counts().queued_entries, 0);
   // Looked at now and then.
   EXPECT_FALSE(scene.pushes.take_push(2100ms)->proxy_snapshot);
 }
@@ -212,13 +212,13 @@
       } else {
         if (offer.proxy_snapshot) given[offer.proxy] = offer.proxy_snapshot;
         pushes.on_confirmed(now, offer.proxy,
-                            offer.proxy_snapshot ? offer.proxy_snapshot->since : SnapshotVersion{});
+                            offer.proxy_snapshot ? offer.proxy_snapshot->changed_in : SnapshotVersion{});
       }
     }
     while (const auto offer = pushes.take_push(now)) {
       if (offer->proxy_snapshot) {
         auto& sent = messages[offer->proxy];
-        const auto since = static_cast<std::uint64_t>(offer->proxy_snapshot->since);
+        const auto since = static_cast<std::uint64_t>(offer->proxy_snapshot->changed_in);
         if (sent.empty() || sent.back().second != since) sent.emplace_back(now, since);
         while (sent.front().first <= now - 10s) sent.pop_front();
         RC_ASSERT(sent.size() <= 12U);
@@ -238,7 +238,7 @@
   }
   for (int n = 0; n < 400; ++n) now += 50ms, turn(false);
   for (const auto& [proxy, proxy_snapshot] : standing) RC_ASSERT(given[proxy] == proxy_snapshot);
-  RC_ASSERT(pushes.counts().waiting == 0);
+  RC_ASSERT(pushes.counts().queued_entries == 0);
 }
 
 // --- Claims
@@ -248,14 +248,15 @@
   RemoteState lies;
   int quiet = 0;  // steps since its owner spoke
   RemoteState look(const LeaseTable& by, ProxyId proxy) {
-    if (lies.any && lies.owner == by.owner() && lies.epoch == by.epoch(proxy)) quiet = 0;
+    if (lies.has_table && lies.owner == by.owner() && lies.epoch == by.epoch(proxy)) quiet = 0;
     auto seen = lies;
-    seen.stale = lies.any && quiet > 5;
+    seen.lease_expired = lies.has_table && quiet > 5;
     return seen;
   }
   bool take(const LeaseTable& by, ProxyId proxy, std::uint64_t version) {
     const auto epoch = by.epoch(proxy);
-    if (lies.any && (epoch < lies.epoch || (epoch == lies.epoch && by.owner() != lies.owner))) return false;
+    if (lies.has_table && (epoch < lies.epoch || (epoch == lies.epoch && by.owner() != lies.owner)))
+      return false;
     lies = {true, epoch, SnapshotVersion{version}, by.owner(), false, {}};
     quiet = 0;
     return true;
@@ -274,7 +275,7 @@
                                         "g" + std::to_string(++made));
   };
   std::array<std::unique_ptr<LeaseTable>, 2> governors{start(), start()};
-  std::map<std::string, LeaseTable::Standing> told;
+  std::map<std::string, LeaseTable::Ownership> told;
   std::set<std::string> claimed_late;  // and not ordered by yet
   for (int n = *rc::gen::inRange(5, 120); n > 0; --n) {
     auto& one = governors[*rc::gen::inRange<std::size_t>(0, 2)];
@@ -289,19 +290,19 @@
         const bool first = by.epoch(proxy) == 0;
         const auto seen = keeper.look(by, proxy);
         const auto standing = by.observe(proxy, seen);
-        if (standing == LeaseTable::Standing::claimed) RC_ASSERT(first || seen.stale);
-        if (first) RC_ASSERT(standing == LeaseTable::Standing::claimed);
+        if (standing == LeaseTable::Ownership::claimed) RC_ASSERT(first || seen.lease_expired);
+        if (first) RC_ASSERT(standing == LeaseTable::Ownership::claimed);
         told[by.owner()] = standing;
         // An order right after the look is taken, or not, as it says.
-        if (standing == LeaseTable::Standing::claimed) {
+        if (standing == LeaseTable::Ownership::claimed) {
           const auto before = keeper.lies;
           RC_ASSERT(keeper.take(by, proxy, ++version));
-          RC_ASSERT(!before.any || before.epoch < keeper.lies.epoch);
+          RC_ASSERT(!before.has_table || before.epoch < keeper.lies.epoch);
         }
         break;
       }
       default: {
-        if (!told.contains(by.owner()) || told[by.owner()] == LeaseTable::Standing::theirs) break;
+        if (!told.contains(by.owner()) || told[by.owner()] == LeaseTable::Ownership::theirs) break;
         const auto before = keeper.lies;
         if (keeper.take(by, proxy, ++version)) {
           // Or it claimed what nobody had spoken to, and orders only now.
@@ -310,8 +311,8 @@
         } else {
           const auto seen = keeper.look(by, proxy);
           told[by.owner()] = by.observe(proxy, seen);
-          RC_ASSERT((told[by.owner()] == LeaseTable::Standing::claimed) == seen.stale);
-          if (seen.stale) claimed_late.insert(by.owner());
+          RC_ASSERT((told[by.owner()] == LeaseTable::Ownership::claimed) == seen.lease_expired);
+          if (seen.lease_expired) claimed_late.insert(by.owner());
         }
       }
     }
--- a/tests/program/routing_state_test.cpp
+++ b/tests/program/routing_state_test.cpp
@@ -33,14 +33,15 @@
     RoutingTable view{{}, std::vector<TrafficPolicy>(kClasses)};
     if (tables.contains(table)) {
       for (const auto& [replica, weight] : tables.at(table)) {
-        if (!out.contains(replica)) view.lines.push_back({replica, weight});
+        if (!out.contains(replica)) view.entries.push_back({replica, weight});
       }
     }
     for (std::size_t k = 0; k < kClasses; ++k) {
-      if (terms.contains(k)) view.terms[k] = terms.at(k);
+      if (terms.contains(k)) view.traffic_policies[k] = terms.at(k);
       if (!own_terms.contains(table) || !own_terms.at(table).contains(k)) continue;
       const auto& own = own_terms.at(table).at(k);
-      view.terms[k] = {std::min(own.level, view.terms[k].level), own.retry};
+      view.traffic_policies[k] = {std::min(own.admitted_fraction, view.traffic_policies[k].admitted_fraction),
+                                  own.retry};
     }
     return view;
   }
@@ -111,15 +112,15 @@
     const auto published = book.publish(1s);
     std::set<ProxyId> pending;
     if (published) {
-      RC_ASSERT(static_cast<std::uint64_t>(published->version->number) == ++number);
-      for (const auto& of : published->pending) {
-        RC_ASSERT(of.lines > 0U);
+      RC_ASSERT(static_cast<std::uint64_t>(published->snapshot->version) == ++number);
+      for (const auto& of : published->changes) {
+        RC_ASSERT(of.entries > 0U);
         pending.insert(of.proxy);
       }
     }
     for (std::uint16_t p = 0; p < 4; ++p) {
       const ProxyId proxy{p};
-      const auto proxy_snapshot = published ? published->version->snapshot_of(proxy) : last[proxy];
+      const auto proxy_snapshot = published ? published->snapshot->snapshot_of(proxy) : last[proxy];
       // Who is told that something waits is who holds something else than before.
       if (published) RC_ASSERT(pending.contains(proxy) == (proxy_snapshot && proxy_snapshot != last[proxy]));
       last[proxy] = proxy_snapshot;
@@ -135,19 +136,19 @@
 
 std::shared_ptr<const ProxySnapshot> random_holding(std::uint64_t since) {
   auto view = std::make_shared<RoutingTable>();
-  view->terms.resize(1);
+  view->traffic_policies.resize(1);
   for (std::uint32_t id = 0; id < 4; ++id) {
     const double weight = *rc::gen::inRange(0, 4);
-    if (weight > 0) view->lines.push_back({ReplicaId{id}, weight});
+    if (weight > 0) view->entries.push_back({ReplicaId{id}, weight});
   }
   auto proxy_snapshot = std::make_shared<ProxySnapshot>();
-  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->changed_in = SnapshotVersion{since};
   proxy_snapshot->routing_tables = {view};
   return proxy_snapshot;
 }
 
 double weight_in(const ProxySnapshot& proxy_snapshot, ReplicaId id) {
-  for (const auto& line : proxy_snapshot.routing_tables[0]->lines) {
+  for (const auto& line : proxy_snapshot.routing_tables[0]->entries) {
     if (line.replica == id) return line.weight;
   }
   return 0;
@@ -168,7 +169,7 @@
     if (*rc::gen::inRange(0, 3) == 0) {
       standing = random_holding(static_cast<std::uint64_t>(steps));
       handouts.on_published(now, proxy, standing, 1 + static_cast<std::size_t>(*rc::gen::inRange(0, 9)));
-      RC_ASSERT(handouts.counts().waiting <= 2 + 6.0);
+      RC_ASSERT(handouts.counts().queued_entries <= 2 + 6.0);
       continue;
     }
     const auto answer = handouts.take_answer(now, proxy);
@@ -186,9 +187,9 @@
 
 std::shared_ptr<const ProxySnapshot> snapshot_of(std::uint64_t since, std::vector<TableEntry> lines) {
   auto view = std::make_shared<RoutingTable>();
-  view->lines = std::move(lines);
+  view->entries = std::move(lines);
   auto proxy_snapshot = std::make_shared<ProxySnapshot>();
-  proxy_snapshot->since = SnapshotVersion{since};
+  proxy_snapshot->changed_in = SnapshotVersion{since};
   proxy_snapshot->routing_tables = {view};
   return proxy_snapshot;
 }
@@ -201,10 +202,10 @@
   handouts.on_published(0s, proxy, snapshot_of(1, {a, b}), 2);
   ASSERT_TRUE(handouts.take_answer(0s, proxy));
   handouts.on_published(10ms, proxy, snapshot_of(2, {a, b, c}), 1);
-  EXPECT_EQ(handouts.take_answer(20ms, proxy)->since, SnapshotVersion{1});
+  EXPECT_EQ(handouts.take_answer(20ms, proxy)->changed_in, SnapshotVersion{1});
   handouts.on_published(30ms, proxy, snapshot_of(3, {a, c}), 1);
-  EXPECT_EQ(handouts.take_answer(40ms, proxy)->since, SnapshotVersion{3});
-  EXPECT_EQ(handouts.counts().held_back, 1U);
+  EXPECT_EQ(handouts.take_answer(40ms, proxy)->changed_in, SnapshotVersion{3});
+  EXPECT_EQ(handouts.counts().rate_limited_queries, 1U);
 }
 
 TEST(PullDelivery, MarksAreReachedWithWhatCarriesThemOrMore) {
@@ -218,12 +219,12 @@
   ASSERT_TRUE(handouts.take_answer(1s, proxy));
   const auto reached = handouts.take_acknowledged(2s, proxy);
   ASSERT_EQ(reached.size(), 1U);
-  EXPECT_EQ(reached[0].took, 2s);
+  EXPECT_EQ(reached[0].latency, 2s);
   EXPECT_TRUE(handouts.take_acknowledged(3s, proxy).empty());
   handouts.remove_proxy(proxy);
   handouts.add_proxy(4s, proxy);
   EXPECT_FALSE(handouts.take_answer(4s, proxy));
-  EXPECT_EQ(handouts.counts().waiting, 0);
+  EXPECT_EQ(handouts.counts().queued_entries, 0);
 }
 
 }  // namespace
