--- a/src/platform/table_push.cpp
+++ b/src/platform/table_push.cpp
@@ -60,7 +60,7 @@
   auto endpoints = encode_changes(push, first_change, end);
   if (!endpoints.empty()) add_field(words, "endpoints", std::move(endpoints));
   if (push.policy && last) {
-    add_field(words, "admit", format_number(push.policy->level));
+    add_field(words, "admit", format_number(push.policy->admitted_fraction));
     add_field(words, "policy", std::to_string(static_cast<int>(push.policy->retry)));
     entries_ += push.classes.size();
   }
