--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -141,7 +141,7 @@
 // --- The controller's actions, under its lock
 
 void PlatformServer::on_published(Nanos,
-                                  const std::optional<routing_state::RoutingState::Published>& published,
+                                  const std::optional<routing_state::RoutingState::Publication>& published,
                                   const std::vector<std::pair<AckRequestId, bool>>& requests) {
   delivery_.on_published(published, requests);
   if (streams_) streams_->wake();
--- a/src/platform/stream_delivery.cpp
+++ b/src/platform/stream_delivery.cpp
@@ -29,16 +29,16 @@
   return changes;
 }
 
-void StreamDelivery::on_published(const std::optional<routing_state::RoutingState::Published>& published,
+void StreamDelivery::on_published(const std::optional<routing_state::RoutingState::Publication>& published,
                                   const std::vector<std::pair<AckRequestId, bool>>& requests) {
   const std::lock_guard lock(mutex_);
   if (published) {
-    snapshot_ = published->version;
-    for (const auto& pending : published->pending)
+    snapshot_ = published->snapshot;
+    for (const auto& pending : published->changes)
       encoder_.on_published(pending.proxy, snapshot_->snapshot_of(pending.proxy));
   }
   for (const auto& [request, all_proxies] : requests) {
-    for (const auto proxy : snapshot_->marked(all_proxies))
+    for (const auto proxy : snapshot_->acknowledgement_recipients(all_proxies))
       encoder_.request_acknowledgement(proxy, request, all_proxies);
   }
 }
