--- a/fuzz/discovery_update.cpp
+++ b/fuzz/discovery_update.cpp
@@ -1,23 +1,30 @@
-// Lists as discovery may send them, one after the other.
+// Endpoint lists as discovery may send them, one after the other.
+#include <cstddef>
+#include <cstdint>
 #include <cstdlib>
+#include <string_view>
 
+#include "discovery/endpoint_list_update.h"
+#include "net/socket.h"
 #include "platform/endpoint_registry.h"
+#include "policy/types.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
-  platform::EndpointRegistry places({"east"}, {"new"}, Nanos{-5});
+  platform::EndpointRegistry registry({"east"}, {"new"}, Nanos{-5});
   std::string_view text(reinterpret_cast<const char*>(data), size);
   while (!text.empty()) {
     const auto end = text.find('\n');
     try {
-      const auto roster = discovery::parse_endpoint_list_update(text.substr(0, end));
-      const auto taken = places.apply(roster);
-      if (taken.updates.size() + taken.rejected > roster.entries.size()) std::abort();
+      const auto update = discovery::parse_endpoint_list_update(text.substr(0, end));
+      const auto changes = registry.apply(update);
+      if (changes.updates.size() + changes.rejected > update.entries.size()) std::abort();
     } catch (const net::Error&) {
+      // A list that cannot be read changes nothing.
     }
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
   }
-  for (const auto id : places.gone_replicas()) places.release(id);
-  if (!places.gone_replicas().empty()) std::abort();
+  for (const auto id : registry.gone_replicas()) registry.release(id);
+  if (!registry.gone_replicas().empty()) std::abort();
   return 0;
 }
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -1,265 +1,249 @@
 #include "discovery/discovery_watcher.h"
 
 #include <algorithm>
-#include <cmath>
-#include <nlohmann/json.hpp>
-#include <set>
-
+#include <chrono>
+#include <condition_variable>
+#include <cstddef>
+#include <cstdint>
+#include <exception>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "discovery/endpoint_list_update.h"
 #include "http/http.h"
+#include "net/cancellation_event.h"
+#include "net/socket.h"
+#include "net/threads.h"
 
 namespace ospreypost::discovery {
 namespace {
 
-using namespace std::chrono_literals;
-using nlohmann::json;
+using std::chrono::milliseconds;
+
+constexpr std::size_t kMaxLineBytes = std::size_t{8} << 20;
+constexpr milliseconds kMinBackoff{50};
+constexpr milliseconds kMaxBackoff{1000};
+constexpr std::size_t kMaxDrainingWatches = 4;
+// Far ahead, with room to add to it.
+constexpr net::Deadline kNoDeadline = net::Deadline::max() - std::chrono::hours(1);
+
+bool is_blank(std::string_view line) { return line.find_first_not_of(" \r\t") == std::string_view::npos; }
+
+}  // namespace
+
+// The watch of one address, in a thread of its own: connects, reads, and connects again after a backoff.
+class DiscoveryWatcher::AddressWatch {
+ public:
+  AddressWatch(DiscoveryWatcher& watcher, net::Address address);
+  AddressWatch(const AddressWatch&) = delete;
+  AddressWatch& operator=(const AddressWatch&) = delete;
+  ~AddressWatch();
+
+  void refresh();
+  // Reads on while the watch lasts, but not for long, and connects no more.
+  void drain();
+  bool has_ended() const;
+
+ private:
+  void run();
+  std::string watch_until_broken();
+  void watch();
+  http::Request make_request() const;
+  void on_line(std::string_view line);
+
+  DiscoveryWatcher& watcher_;
+  const net::Address address_;
+  net::CancellationEvent cancellation_;
+
+  // Used by the thread alone.
+  bool needs_complete_list_ = false;          // asks without a revision
+  bool received_complete_list_ = false;       // on this connection
+  std::optional<net::Deadline> stale_since_;  // sends lists that are older than the known one
+
+  mutable std::mutex mutex_;
+  // Guarded by `mutex_`, which is held for a few instructions.
+  std::optional<net::Deadline> ends_at_;
+  bool refresh_requested_ = false;
+  bool watching_ = false;
+  bool ended_ = false;
 
-constexpr std::size_t kMostLine = std::size_t{8} << 20;  // bytes
-constexpr auto kFirstPause = 50ms, kLongestPause = 1000ms;
-constexpr std::size_t kMostLeaving = 4;
+  std::condition_variable changed_;  // waited for with `mutex_`
+  net::Thread thread_;
+};
 
-std::string text_at(const json& entry, const char* key) {
-  const auto at = entry.find(key);
-  if (at == entry.end() || !at->is_string()) throw net::Error(std::string(key) + " is no text");
-  return at->get<std::string>();
+DiscoveryWatcher::AddressWatch::AddressWatch(DiscoveryWatcher& watcher, net::Address address)
+    : watcher_(watcher), address_(std::move(address)) {
+  thread_ = net::Thread("registry", [this] { run(); });
 }
 
-double number_at(const json& entry, const char* key, double least, double most) {
-  const auto at = entry.find(key);
-  if (at == entry.end() || !at->is_number()) throw net::Error(std::string(key) + " is no number");
-  const double number = at->get<double>();
-  if (!(number >= least && number <= most)) throw net::Error(std::string(key) + " is out of range");
-  return number;
+DiscoveryWatcher::AddressWatch::~AddressWatch() {
+  {
+    const std::lock_guard lock(mutex_);
+    ends_at_ = net::Steady::now();
+    cancellation_.set();
+    changed_.notify_all();
+  }
+  thread_.join();
 }
 
-EndpointEntry member_of(const json& entry) {
-  if (!entry.is_object()) throw net::Error("an entry is no object");
-  EndpointEntry member;
-  member.name = text_at(entry, "id");
-  if (member.name.empty() || member.name.size() > 200) throw net::Error("id is no name");
-  const auto phase = text_at(entry, "phase");
-  if (phase != "SERVING" && phase != "DRAINING" && phase != "DELETED") throw net::Error("phase is unknown");
-  member.phase = phase == "SERVING"    ? EndpointPhase::ready
-                 : phase == "DRAINING" ? EndpointPhase::draining
-                                       : EndpointPhase::gone;
-  // Of what is gone nothing but its name is needed.
-  if (member.phase == EndpointPhase::gone) return member;
-  member.address = net::Address::parse(text_at(entry, "host_port"));
-  member.zone = text_at(entry, "locality");
-  member.kind = text_at(entry, "flavor");
-  member.cell = static_cast<std::uint32_t>(number_at(entry, "cell", 0, 4e9));
-  member.weight = number_at(entry, "size", 0, 1e9);
-  const double started = number_at(entry, "up_since_ms", 0, 9e12);
-  if (started > 0) member.started = Nanos(std::llround(started * 1e6));
-  return member;
+void DiscoveryWatcher::AddressWatch::refresh() {
+  const std::lock_guard lock(mutex_);
+  refresh_requested_ = true;
+  cancellation_.set();
+  changed_.notify_all();
 }
 
-}  // namespace
+void DiscoveryWatcher::AddressWatch::drain() {
+  const std::lock_guard lock(mutex_);
+  ends_at_ = net::Steady::now() + watcher_.timeouts_.draining;
+  if (!watching_) cancellation_.set();
+  changed_.notify_all();
+}
 
-EndpointListUpdate parse_endpoint_list_update(std::string_view text) {
-  EndpointListUpdate roster;
-  json document;
-  try {
-    document = json::parse(text);
-  } catch (const json::exception&) {
-    throw net::Error("the list is no JSON");
-  }
-  if (!document.is_object()) throw net::Error("the list is no object");
-  const auto revision = document.find("revision");
-  if (revision == document.end() || !revision->is_number_unsigned())
-    throw net::Error("revision is no number");
-  roster.revision = revision->get<std::uint64_t>();
-  const auto complete = document.find("complete");
-  if (complete == document.end() || !complete->is_boolean())
-    throw net::Error("complete is neither yes nor no");
-  roster.complete = complete->get<bool>();
-  const auto members = document.find("members");
-  if (members == document.end() || !members->is_array()) throw net::Error("members is no list");
-  std::set<std::string> named;
-  for (const auto& entry : *members) {
-    try {
-      auto member = member_of(entry);
-      if (!named.insert(member.name).second) throw net::Error("named twice");
-      roster.entries.push_back(std::move(member));
-    } catch (const net::Error&) {
-      ++roster.rejected;
-      const auto name = entry.is_object() ? entry.find("id") : entry.end();
-      if (entry.is_object() && name != entry.end() && name->is_string())
-        roster.rejected_names.push_back(name->get<std::string>());
-    }
-  }
-  return roster;
+bool DiscoveryWatcher::AddressWatch::has_ended() const {
+  const std::lock_guard lock(mutex_);
+  return ended_;
 }
 
-// Of one address: dials, watches, and dials again.
-class DiscoveryWatcher::Follower {
- public:
-  Follower(DiscoveryWatcher& registry, const net::Address& address) : registry_(registry), address_(address) {
-    thread_ = net::Thread("registry", [this] { work(); });
-  }
-  ~Follower() {
-    {
-      const std::lock_guard held(lock_);
-      leaves_at_ = net::Steady::now();
-      interrupt_.set();
-      changed_.notify_all();
-    }
-    thread_.join();
-  }
-  void refresh() {
-    const std::lock_guard held(lock_);
-    again_ = true;
-    interrupt_.set();
-    changed_.notify_all();
-  }
-  // Reads on while its watch lasts, but not for long, and dials no more.
-  void leave() {
-    const std::lock_guard held(lock_);
-    leaves_at_ = net::Steady::now() + registry_.waits_.draining;
-    if (!watching_) interrupt_.set();
-    changed_.notify_all();
-  }
-  bool has_left() const {
-    const std::lock_guard held(lock_);
-    return left_;
+void DiscoveryWatcher::AddressWatch::run() {
+  milliseconds backoff = kMinBackoff;
+  std::unique_lock lock(mutex_);
+  while (!ends_at_) {
+    if (!needs_complete_list_) needs_complete_list_ = std::exchange(refresh_requested_, false);
+    cancellation_.clear();
+    lock.unlock();
+    const auto started = net::Steady::now();
+    const std::string why = watch_until_broken();
+    lock.lock();
+    watching_ = false;
+    if (ends_at_ || refresh_requested_) continue;
+    lock.unlock();
+    watcher_.report_error(why);
+    lock.lock();
+    const bool lasted = net::Steady::now() - started > kMaxBackoff;
+    backoff = lasted ? kMinBackoff : std::min(2 * backoff, kMaxBackoff);
+    changed_.wait_for(lock, backoff, [this] { return ends_at_ || refresh_requested_; });
   }
+  ended_ = true;
+}
 
- private:
-  void work() {
-    std::chrono::milliseconds pause = kFirstPause;
-    std::unique_lock held(lock_);
-    while (!leaves_at_) {
-      whole_ = whole_ || std::exchange(again_, false);
-      interrupt_.clear();
-      held.unlock();
-      const auto begun = net::Steady::now();
-      std::string why;
-      try {
-        watch();
-        why = "the answer ended";
-      } catch (const std::exception& error) {
-        why = error.what();
-      }
-      held.lock();
-      watching_ = false;
-      if (leaves_at_ || again_) continue;
-      held.unlock();
-      registry_.silent(why);
-      held.lock();
-      const bool lasted = net::Steady::now() - begun > kLongestPause;
-      pause = lasted ? kFirstPause : std::min<std::chrono::milliseconds>(2 * pause, kLongestPause);
-      changed_.wait_for(held, pause, [this] { return leaves_at_ || again_; });
-    }
-    left_ = true;
+// Why the watch ended.
+std::string DiscoveryWatcher::AddressWatch::watch_until_broken() {
+  try {
+    watch();
+  } catch (const std::exception& error) {
+    return error.what();
   }
+  return "the answer ended";
+}
 
-  void watch() {
-    const auto& waits = registry_.waits_;
-    http::Connection connection(net::connect(address_, net::Steady::now() + waits.connect, &interrupt_),
-                                &interrupt_);
-    http::Request request;
-    request.target = "/registry/instances?watch=1";
-    if (!whole_) request.target += "&after=" + std::to_string(registry_.revision());
-    connection.write(request, address_.text(), net::Steady::now() + waits.connect);
-    listed_ = false;
-    {
-      const std::lock_guard held(lock_);
-      watching_ = true;
-    }
-    const auto until = [this] {
-      const std::lock_guard held(lock_);
-      return leaves_at_.value_or(net::Deadline::max() - 1h);
-    };
-    connection.read_lines(kMostLine, waits.idle, until, [this](std::string_view line) { take(line); });
+void DiscoveryWatcher::AddressWatch::watch() {
+  const auto& timeouts = watcher_.timeouts_;
+  http::Connection connection(net::connect(address_, net::Steady::now() + timeouts.connect, &cancellation_),
+                              &cancellation_);
+  const auto request = make_request();
+  connection.write(request, address_.text(), net::Steady::now() + timeouts.connect);
+  received_complete_list_ = false;
+  {
+    const std::lock_guard lock(mutex_);
+    watching_ = true;
   }
+  const auto deadline = [this] {
+    const std::lock_guard lock(mutex_);
+    return ends_at_.value_or(kNoDeadline);
+  };
+  connection.read_lines(kMaxLineBytes, timeouts.idle, deadline,
+                        [this](std::string_view line) { on_line(line); });
+}
 
-  void take(std::string_view line) {
-    const auto now = net::Steady::now();
-    const bool anew = behind_since_ && now - *behind_since_ >= registry_.waits_.stale;
-    if (anew && !whole_) {
-      whole_ = true;
-      throw net::Error("older lists for so long: it is asked for the whole one");
-    }
-    if (line.find_first_not_of(" \r\t") == std::string_view::npos) return;
-    const auto roster = parse_endpoint_list_update(line);
-    // Changes to a list that is not ours make no list.
-    if (whole_ && !listed_ && !roster.complete)
-      throw net::Error("changes where the whole list was asked for");
-    listed_ = listed_ || roster.complete;
-    if (registry_.take(roster, anew)) {
-      behind_since_.reset();
-      whole_ = false;
-    } else if (!behind_since_) {
-      behind_since_ = now;
-      registry_.silent("an older list than the known one");
-    }
-  }
+http::Request DiscoveryWatcher::AddressWatch::make_request() const {
+  http::Request request;
+  request.target = "/registry/instances?watch=1";
+  if (!needs_complete_list_) request.target += "&after=" + std::to_string(watcher_.revision());
+  return request;
+}
 
-  DiscoveryWatcher& registry_;
-  const net::Address address_;
-  net::CancellationEvent interrupt_;
-  // Of the thread alone.
-  bool whole_ = false;                         // ask without a revision
-  bool listed_ = false;                        // a whole list came on this watch
-  std::optional<net::Deadline> behind_since_;  // it sends older lists than the known one
-  mutable std::mutex lock_;                    // of what follows; held for a few instructions
-  std::condition_variable changed_;
-  std::optional<net::Deadline> leaves_at_;
-  bool again_ = false, watching_ = false, left_ = false;
-  net::Thread thread_;
-};
+void DiscoveryWatcher::AddressWatch::on_line(std::string_view line) {
+  const auto now = net::Steady::now();
+  const bool has_begun_anew = stale_since_ && now - *stale_since_ >= watcher_.timeouts_.stale;
+  if (has_begun_anew && !needs_complete_list_) {
+    needs_complete_list_ = true;
+    throw net::Error("older lists for so long: it is asked for the whole one");
+  }
+  if (is_blank(line)) return;
+  const auto update = parse_endpoint_list_update(line);
+  // Changes to a list that is not the known one make no list.
+  if (needs_complete_list_ && !received_complete_list_ && !update.complete)
+    throw net::Error("changes where the whole list was asked for");
+  received_complete_list_ = received_complete_list_ || update.complete;
+  const auto policy = has_begun_anew ? StaleListPolicy::accept_complete : StaleListPolicy::drop;
+  if (watcher_.apply(update, policy)) {
+    stale_since_.reset();
+    needs_complete_list_ = false;
+  } else if (!stale_since_) {
+    stale_since_ = now;
+    watcher_.report_error("an older list than the known one");
+  }
+}
 
 DiscoveryWatcher::DiscoveryWatcher(const net::Address& address, std::uint64_t revision,
-                                   EndpointListHandler& sink, Timeouts waits)
-    : sink_(sink), waits_(waits), revision_(revision) {
-  follower_ = std::make_unique<Follower>(*this, address);
+                                   EndpointListHandler& handler, const Timeouts& timeouts)
+    : handler_(handler), timeouts_(timeouts), revision_(revision) {
+  current_watch_ = std::make_unique<AddressWatch>(*this, address);
 }
 
 DiscoveryWatcher::~DiscoveryWatcher() { stop(); }
 
 void DiscoveryWatcher::move_to(const net::Address& address) {
-  const std::lock_guard held(lock_);
-  if (!follower_) return;
-  std::erase_if(leaving_, [](const auto& follower) { return follower->has_left(); });
-  // Against a flood of moves: the watch that was left first ends now.
-  if (leaving_.size() >= kMostLeaving) leaving_.erase(leaving_.begin());
-  follower_->leave();
-  leaving_.push_back(std::move(follower_));
-  follower_ = std::make_unique<Follower>(*this, address);
+  const std::lock_guard lock(watches_mutex_);
+  if (!current_watch_) return;
+  std::erase_if(draining_watches_, [](const auto& watch) { return watch->has_ended(); });
+  // Against a flood of moves: the oldest watch ends now.
+  if (draining_watches_.size() >= kMaxDrainingWatches) draining_watches_.erase(draining_watches_.begin());
+  current_watch_->drain();
+  draining_watches_.push_back(std::move(current_watch_));
+  current_watch_ = std::make_unique<AddressWatch>(*this, address);
 }
 
 void DiscoveryWatcher::refresh() {
-  const std::lock_guard held(lock_);
-  if (follower_) follower_->refresh();
+  const std::lock_guard lock(watches_mutex_);
+  if (current_watch_) current_watch_->refresh();
 }
 
 void DiscoveryWatcher::stop() {
-  std::vector<std::unique_ptr<Follower>> followers;
-  {
-    const std::lock_guard held(lock_);
-    followers = std::exchange(leaving_, {});
-    followers.push_back(std::move(follower_));
-  }
+  // Joined without the lock, as they leave this scope.
+  std::vector<std::unique_ptr<AddressWatch>> watches;
+  const std::lock_guard lock(watches_mutex_);
+  watches = std::exchange(draining_watches_, {});
+  watches.push_back(std::move(current_watch_));
 }
 
 std::uint64_t DiscoveryWatcher::revision() const {
-  const std::lock_guard held(taking_);
+  const std::lock_guard lock(update_mutex_);
   return revision_;
 }
 
-// Two addresses may speak at a time, and one may be behind the other: what is gone or drains since must not
-// come back by an older list, nor an older change.
-bool DiscoveryWatcher::take(const EndpointListUpdate& roster, bool anew) {
-  const std::lock_guard held(taking_);
-  const bool older = roster.complete ? roster.revision < revision_ : roster.revision <= revision_;
-  if (older && !(anew && roster.complete)) return !roster.complete && roster.revision == revision_;
-  revision_ = roster.revision;
-  sink_.on_endpoint_list_update(roster);
+// False if the update was dropped as it is older than what is known. Two addresses may send at a time, and
+// one may be behind the other: what is gone or draining since must not come back by an older list, nor by an
+// older change.
+bool DiscoveryWatcher::apply(const EndpointListUpdate& update, StaleListPolicy policy) {
+  const std::lock_guard lock(update_mutex_);
+  const bool older = update.complete ? update.revision < revision_ : update.revision <= revision_;
+  const bool accepts_older = policy == StaleListPolicy::accept_complete && update.complete;
+  if (older && !accepts_older) return !update.complete && update.revision == revision_;
+  revision_ = update.revision;
+  handler_.on_endpoint_list_update(update);
   return true;
 }
 
-void DiscoveryWatcher::silent(const std::string& why) {
-  const std::lock_guard held(taking_);
-  sink_.on_discovery_error(why);
+void DiscoveryWatcher::report_error(const std::string& why) {
+  const std::lock_guard lock(update_mutex_);
+  handler_.on_discovery_error(why);
 }
 
 }  // namespace ospreypost::discovery
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -1,93 +1,84 @@
-// Discovery of the platform: its list and its watch over HTTP/1.1, as a source of the list.
+/// Follows the platform's discovery: a watch over HTTP/1.1 that is opened anew whenever it breaks.
 #pragma once
 
-#include <condition_variable>
+#include <chrono>
 #include <cstdint>
 #include <memory>
 #include <mutex>
-#include <optional>
 #include <string>
-#include <string_view>
 #include <vector>
 
-#include "net/cancellation_event.h"
+#include "discovery/endpoint_list_update.h"
 #include "net/socket.h"
-#include "net/threads.h"
-#include "policy/controller.h"
 
 namespace ospreypost::discovery {
 
-// One entry as discovery writes it.
-struct EndpointEntry {
-  std::string name, zone, kind;
-  std::uint32_t cell = 0;
-  net::Address address;
-  EndpointPhase phase = EndpointPhase::ready;
-  double weight = 1;
-  std::optional<Nanos> started;  // since 1970; absent: long ago
-};
-
-struct EndpointListUpdate {
-  std::uint64_t revision = 0;
-  bool complete = false;
-  std::vector<EndpointEntry> entries;
-  std::size_t rejected = 0;                 // entries that could not be read; the others stand
-  std::vector<std::string> rejected_names;  // of those, the ones that say whose they are
-};
-
-// Throws net::Error naming what is wrong where the document as a whole can't be read.
-EndpointListUpdate parse_endpoint_list_update(std::string_view text);
-
-// What a registry tells. Called from its own threads, never two calls at a time.
+/// Receives what discovery sends. Called from the watcher's threads, one call at a time.
 class EndpointListHandler {
  public:
   virtual ~EndpointListHandler() = default;
-  virtual void on_endpoint_list_update(const EndpointListUpdate& roster) = 0;
-  virtual void on_discovery_error(const std::string& why) = 0;  // the last list stands
+  virtual void on_endpoint_list_update(const EndpointListUpdate& update) = 0;
+  /// The watch broke, or what came could not be used. The last list stays in force.
+  virtual void on_discovery_error(const std::string& why) = 0;
 };
 
-// Watches until stopped, and dials again whenever a watch ends, is silent or can't be read. A list only goes
-// forward: what is older than the one known is not taken, whoever sends it.
+/// Watches one address until it is stopped. The list only goes forward: an update that is older than the
+/// known revision is dropped, whichever address sends it. Thread-safe.
+///
+/// Lock order: `watches_mutex_`, then a watch's own lock; `update_mutex_`, then whatever the handler takes.
+/// `update_mutex_` is never taken while one of the others is held. `watches_mutex_` is held while a thread is
+/// joined that may hold `update_mutex_`, so the handler must not call the watcher.
 class DiscoveryWatcher {
  public:
   struct Timeouts {
-    net::Steady::duration connect =
-        std::chrono::seconds(1);  // for a connection, and for the question to leave
-    // After so long without a whole line the watch is dead: an empty one comes every 2 s while nothing
-    // changes. With a pause and a connection it stays below the 6 s after which what changed counts as told.
+    /// For a connection to be made, and again for the request to be sent.
+    net::Steady::duration connect = std::chrono::seconds(1);
+    /// Without a complete line for this long the watch counts as broken: discovery sends an empty line every
+    /// 2 s while nothing changes. Together with a backoff and a connection it stays below the 6 s after which
+    /// discovery counts a change as received.
     net::Steady::duration idle = std::chrono::seconds(3);
-    // After a move, the watch that is left goes on for so long: what it has written counts as told, and the
-    // new address may be behind.
+    /// After a move the old address is read for this long: what it has written counts as received, and the
+    /// new address may be behind it.
     net::Steady::duration draining = std::chrono::seconds(2);
-    // Who sends older lists for so long is not behind, but begins anew, and is taken at its word.
+    /// An address that sends older lists for this long is not behind, but has begun anew: its next complete
+    /// list is taken over.
     net::Steady::duration stale = std::chrono::seconds(60);
   };
-  // `revision`: of the list that is known already.
-  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink)
-      : DiscoveryWatcher(address, revision, sink, Timeouts{}) {}
-  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& sink,
-                   Timeouts waits);
+
+  /// `revision` is that of the list that is known already. `handler` must outlive the watcher. Throws
+  /// `net::Error` if no thread can be had.
+  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& handler)
+      : DiscoveryWatcher(address, revision, handler, Timeouts{}) {}
+  DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& handler,
+                   const Timeouts& timeouts);
   ~DiscoveryWatcher();
-  // Dials there at once.
+
+  /// Watches another address at once; the old one is read on for a short while.
   void move_to(const net::Address& address);
-  // The whole list is asked for anew.
+  /// Asks for the complete list anew.
   void refresh();
+  /// Ends all watches and joins their threads.
   void stop();
 
  private:
-  class Follower;
-  // Of one line, from one address. False: it is not taken, as it is older than what is known.
-  bool take(const EndpointListUpdate& roster, bool anew);
+  class AddressWatch;
+  enum class StaleListPolicy { drop, accept_complete };
+
+  bool apply(const EndpointListUpdate& update, StaleListPolicy policy);
   std::uint64_t revision() const;
-  void silent(const std::string& why);
+  void report_error(const std::string& why);
+
+  EndpointListHandler& handler_;
+  const Timeouts timeouts_;
+
+  // Held while the handler is called, so that updates arrive in their order.
+  mutable std::mutex update_mutex_;
+  std::uint64_t revision_;  // guarded by `update_mutex_`
 
-  EndpointListHandler& sink_;
-  const Timeouts waits_;
-  mutable std::mutex taking_;  // held while the sink is told, so that lists are told in their order
-  std::uint64_t revision_;
-  std::mutex lock_;  // of who follows; never held while anything is read, written or told
-  std::unique_ptr<Follower> follower_;
-  std::vector<std::unique_ptr<Follower>> leaving_;
+  // Guards the watches below; no I/O and no call of the handler while it is held.
+  std::mutex watches_mutex_;
+  std::unique_ptr<AddressWatch> current_watch_;
+  std::vector<std::unique_ptr<AddressWatch>> draining_watches_;  // the oldest first
 };
 
 }  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_file_source.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -3,128 +3,171 @@
 #include <sys/stat.h>
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
+#include <cstddef>
+#include <exception>
+#include <limits>
+#include <mutex>
 #include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "config/config.h"
+#include "discovery/endpoint_list.h"
+#include "net/socket.h"
+#include "net/threads.h"
+#include "policy/types.h"
 
 namespace ospreypost::discovery {
 namespace {
 
 using nlohmann::json;
 
-constexpr Nanos kSettled = std::chrono::milliseconds(50);
-constexpr std::size_t kMostBytes = std::size_t{16} << 20;
-
-bool is_label(const std::string& name) {
-  const auto fits = [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; };
-  return !name.empty() && name.size() <= 62 && name.front() != '-' && name.back() != '-' &&
-         std::all_of(name.begin(), name.end(), fits);
+// A file that was written within this time may be written again without getting another timestamp.
+constexpr Nanos kFileTimestampResolution = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxFileBytes = std::size_t{16} << 20;
+constexpr std::size_t kMaxNameLength = 62;
+constexpr double kMaxWeight = 1e6;
+constexpr double kMaxUnixSeconds = 9e9;
+
+bool is_dns_label(const std::string& name) {
+  const auto is_allowed = [](char letter) {
+    return (letter >= 'a' && letter <= 'z') || (letter >= '0' && letter <= '9') || letter == '-';
+  };
+  return !name.empty() && name.size() <= kMaxNameLength && name.front() != '-' && name.back() != '-' &&
+         std::all_of(name.begin(), name.end(), is_allowed);
 }
 
 std::string text_of(const json& entry, const char* key, const std::string& otherwise) {
-  const auto at = entry.find(key);
-  if (at == entry.end()) return otherwise;
-  if (!at->is_string()) throw net::Error(std::string("the roll's ") + key + " is no text");
-  return at->get<std::string>();
+  const auto found = entry.find(key);
+  if (found == entry.end()) return otherwise;
+  if (!found->is_string()) throw net::Error(std::string("the roll's ") + key + " is no text");
+  return found->get<std::string>();
 }
 
 double number_of(const json& value, const std::string& what) {
-  const double number = value.is_number() ? value.get<double>() : NAN;
+  const double number = value.is_number() ? value.get<double>() : std::numeric_limits<double>::quiet_NaN();
   if (!std::isfinite(number)) throw net::Error(what + " is no number");
   return number;
 }
 
-bool known(const std::vector<std::string>& names, const std::string& name) {
+bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-discovery::Endpoint backend_of(const json& entry, const config::Config& config) {
-  if (!entry.is_object()) throw net::Error("the roll holds an entry that is no object");
-  discovery::Endpoint backend;
-  backend.name = text_of(entry, "name", "");
-  if (!is_label(backend.name))
-    throw net::Error("the roll's name '" + backend.name + "' is no label of a DNS name");
-  const auto whose = "the roll's " + backend.name + ": ";
-  backend.zone = text_of(entry, "zone", "");
-  if (!known(config.zones, backend.zone)) throw net::Error(whose + "unknown zone '" + backend.zone + "'");
-  backend.kind = text_of(entry, "kind", config.kinds.empty() ? "" : config.kinds.front());
-  if (!config.kinds.empty() && !known(config.kinds, backend.kind))
-    throw net::Error(whose + "unknown kind '" + backend.kind + "'");
-  backend.cell = text_of(entry, "cell", backend.zone);
-  backend.address = net::Address::parse(text_of(entry, "address", ""));
+bool parse_draining(const json& entry, const std::string& error_prefix) {
   const auto phase = text_of(entry, "phase", "ready");
-  if (phase != "ready" && phase != "draining") throw net::Error(whose + "unknown phase '" + phase + "'");
-  backend.draining = phase == "draining";
-  if (entry.contains("weight")) backend.weight = number_of(entry["weight"], whose + "weight");
-  if (backend.weight <= 0 || backend.weight > 1e6) throw net::Error(whose + "weight must be above 0");
-  if (entry.contains("started")) {
-    const double started = number_of(entry["started"], whose + "started");
-    if (started < 0 || started > 9e9) throw net::Error(whose + "started is out of range");
-    backend.started = discovery::WallTime(Nanos(std::llround(started * 1e6) * 1000));
+  if (phase != "ready" && phase != "draining") {
+    throw net::Error(error_prefix + "unknown phase '" + phase + "'");
   }
-  return backend;
+  return phase == "draining";
+}
+
+double parse_weight(const json& entry, const std::string& error_prefix) {
+  if (!entry.contains("weight")) return Endpoint{}.weight;
+  const double weight = number_of(entry["weight"], error_prefix + "weight");
+  if (weight <= 0 || weight > kMaxWeight) throw net::Error(error_prefix + "weight must be above 0");
+  return weight;
+}
+
+std::optional<WallTime> parse_start(const json& entry, const std::string& error_prefix) {
+  if (!entry.contains("started")) return std::nullopt;
+  const double seconds = number_of(entry["started"], error_prefix + "started");
+  if (seconds < 0 || seconds > kMaxUnixSeconds) throw net::Error(error_prefix + "started is out of range");
+  return WallTime(std::chrono::microseconds(std::llround(seconds * 1e6)));
+}
+
+Endpoint parse_endpoint(const json& entry, const config::Config& config) {
+  if (!entry.is_object()) throw net::Error("the roll holds an entry that is no object");
+  Endpoint endpoint;
+  endpoint.name = text_of(entry, "name", "");
+  if (!is_dns_label(endpoint.name))
+    throw net::Error("the roll's name '" + endpoint.name + "' is no label of a DNS name");
+  const auto error_prefix = "the roll's " + endpoint.name + ": ";
+  endpoint.zone = text_of(entry, "zone", "");
+  if (!contains(config.zones, endpoint.zone))
+    throw net::Error(error_prefix + "unknown zone '" + endpoint.zone + "'");
+  endpoint.kind = text_of(entry, "kind", config.kinds.empty() ? "" : config.kinds.front());
+  if (!config.kinds.empty() && !contains(config.kinds, endpoint.kind))
+    throw net::Error(error_prefix + "unknown kind '" + endpoint.kind + "'");
+  endpoint.cell = text_of(entry, "cell", endpoint.zone);
+  endpoint.address = net::Address::parse(text_of(entry, "address", ""));
+  endpoint.draining = parse_draining(entry, error_prefix);
+  endpoint.weight = parse_weight(entry, error_prefix);
+  endpoint.started = parse_start(entry, error_prefix);
+  return endpoint;
+}
+
+WallTime modification_time(const struct stat& status) {
+  return WallTime(std::chrono::seconds(status.st_mtim.tv_sec) + Nanos(status.st_mtim.tv_nsec));
 }
 
 }  // namespace
 
-std::vector<discovery::Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config) {
-  if (text.size() > kMostBytes) throw net::Error("the roll is longer than 16 MiB");
-  const auto roll = json::parse(text, nullptr, false);
-  if (roll.is_discarded()) throw net::Error("the roll is no JSON, or only half of one");
-  const auto backends = roll.is_object() ? roll.find("backends") : roll.end();
-  if (!roll.is_object() || backends == roll.end() || !backends->is_array())
+std::vector<Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config) {
+  if (text.size() > kMaxFileBytes) throw net::Error("the roll is longer than 16 MiB");
+  const auto document = json::parse(text, nullptr, false);
+  if (document.is_discarded()) throw net::Error("the roll is no JSON, or only half of one");
+  const auto entries = document.is_object() ? document.find("backends") : document.end();
+  if (!document.is_object() || entries == document.end() || !entries->is_array())
     throw net::Error("the roll has no list of backends");
-  std::vector<discovery::Endpoint> found;
-  for (const auto& entry : *backends) found.push_back(backend_of(entry, config));
-  return found;
+  std::vector<Endpoint> endpoints;
+  for (const auto& entry : *entries) endpoints.push_back(parse_endpoint(entry, config));
+  return endpoints;
 }
 
-EndpointFileSource::EndpointFileSource(const config::Config& config, EndpointSourceListener& sink,
+EndpointFileSource::EndpointFileSource(const config::Config& config, EndpointSourceListener& listener,
                                        Clock clock)
-    : config_(config), sink_(sink), clock_(std::move(clock)) {
-  thread_ = net::Thread("roll", [this] { watch(); });
+    : config_(config), listener_(listener), clock_(std::move(clock)) {
+  thread_ = net::Thread("roll", [this] { run(); });
 }
 
 void EndpointFileSource::stop() {
   {
-    const std::lock_guard held(lock_);
+    const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  stopped_.notify_all();
+  stop_requested_.notify_all();
   thread_.join();
 }
 
-void EndpointFileSource::watch() {
-  std::unique_lock held(lock_);
+void EndpointFileSource::run() {
+  std::unique_lock lock(mutex_);
   while (!stopping_) {
-    held.unlock();
-    read();
-    held.lock();
-    stopped_.wait_for(held, config_.roll.every, [this] { return stopping_; });
+    lock.unlock();
+    poll();
+    lock.lock();
+    stop_requested_.wait_for(lock, config_.roll.every, [this] { return stopping_; });
   }
 }
 
-void EndpointFileSource::read() {
+void EndpointFileSource::poll() {
   try {
-    struct stat found {};
-    if (::stat(config_.roll.path.c_str(), &found) != 0) throw net::Error("the roll is not there");
-    const Mark mark{found.st_mtim.tv_sec, found.st_mtim.tv_nsec, found.st_size, found.st_ino};
-    if (mark == last_ && !again_.exchange(false)) return;
-    const auto read = clock_();
-    const auto wall = std::chrono::time_point_cast<Nanos>(std::chrono::system_clock::now());
-    const auto taken =
-        roll_.update(read, wall, parse_endpoint_file(config::read_file(config_.roll.path), config_));
-    // A file that was written a moment ago may be written again within one tick of the file system's clock.
-    const bool settled =
-        wall.time_since_epoch() - Nanos(found.st_mtim.tv_sec * 1'000'000'000 + found.st_mtim.tv_nsec) >
-        kSettled;
-    last_ = settled ? mark : Mark{};
-    last_fault_.clear();
-    if (taken.is_first_list || !taken.changes.empty()) sink_.on_endpoint_list_changed(taken);
+    read_if_changed();
   } catch (const std::exception& error) {
-    // Tried again at the next look, as it may be half-written now; complained of once.
-    if (last_fault_ != error.what()) sink_.on_endpoint_list_unreadable(error.what());
-    last_fault_ = error.what();
+    // The next poll tries again, as the file may be half-written now; the same error is reported once.
+    if (last_error_ != error.what()) listener_.on_endpoint_list_unreadable(error.what());
+    last_error_ = error.what();
   }
 }
 
+void EndpointFileSource::read_if_changed() {
+  struct stat status {};
+  if (::stat(config_.roll.path.c_str(), &status) != 0) throw net::Error("the roll is not there");
+  const FileStamp stamp{status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size, status.st_ino};
+  if (stamp == last_stamp_ && !refresh_requested_.exchange(false)) return;
+  const auto read_at = clock_();
+  const auto wall_time = std::chrono::time_point_cast<Nanos>(std::chrono::system_clock::now());
+  auto endpoints = parse_endpoint_file(config::read_file(config_.roll.path), config_);
+  const auto changes = list_.update(read_at, wall_time, std::move(endpoints));
+  const bool settled = wall_time - modification_time(status) > kFileTimestampResolution;
+  last_stamp_ = settled ? stamp : FileStamp{};
+  last_error_.clear();
+  if (changes.is_first_list || !changes.changes.empty()) listener_.on_endpoint_list_changed(changes);
+}
+
 }  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,53 +1,61 @@
 #include "discovery/endpoint_list.h"
 
 #include <algorithm>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "net/socket.h"
+#include "policy/types.h"
 
 namespace ospreypost::discovery {
-namespace {
 
-// A start that the wall clock puts in the future is one of now; one of a life that we saw begin cannot lie
-// before the roll that did not show it yet. So a wall clock that jumps makes nothing warm that is cold.
-Nanos monotonic(WallTime started, Nanos read, WallTime wall, std::optional<Nanos> not_before) {
-  const Nanos age = std::max(Nanos{}, wall - started);
-  const Nanos at = read - age;
-  return not_before ? std::max(at, *not_before) : at;
+// A start that the wall clock puts in the future counts as now, and one that happened while this list was
+// being read cannot lie before the last reading that did not show it. So a wall clock that jumps never makes
+// a replica that is warming up look warm.
+std::optional<Nanos> EndpointList::start_of(const Endpoint& endpoint, Nanos read_at,
+                                            WallTime wall_time) const {
+  const auto before = known_.find(endpoint.name);
+  const bool same_incarnation = before != known_.end() && before->second.endpoint.started == endpoint.started;
+  if (same_incarnation) return before->second.started;
+  if (!endpoint.started) return std::nullopt;
+  const Nanos age = std::max(Nanos{}, wall_time - *endpoint.started);
+  const Nanos started = read_at - age;
+  return has_list_ ? std::max(started, last_read_at_) : started;
 }
 
-}  // namespace
+bool EndpointList::is_changed(const Endpoint& endpoint) const {
+  const auto before = known_.find(endpoint.name);
+  return before == known_.end() || before->second.endpoint != endpoint;
+}
 
-EndpointList::Changes EndpointList::update(Nanos read, WallTime wall, std::vector<Endpoint> backends) {
-  if (backends.empty()) throw net::Error("the roll names nobody");
-  std::map<std::string, Known> next;
-  Changes taken{!any_, {}};
-  for (auto& backend : backends) {
-    if (backend.name.empty()) throw net::Error("the roll holds a backend without a name");
-    const auto name = backend.name;
-    const auto before = known_.find(name);
-    Known known{std::move(backend), std::nullopt};
-    const bool was = before != known_.end();
-    const bool same_life = was && before->second.backend.started == known.backend.started;
-    if (same_life) {
-      known.started = before->second.started;
-    } else if (known.backend.started) {
-      const auto seen_without = any_ ? std::optional(last_read_) : std::nullopt;
-      known.started = monotonic(*known.backend.started, read, wall, seen_without);
-    }
-    const bool changed = !was || before->second.backend != known.backend;
-    const auto [at, fresh] = next.emplace(name, std::move(known));
-    if (!fresh) throw net::Error("the roll names " + name + " twice");
-    if (!changed) continue;
-    const auto phase = at->second.backend.draining ? EndpointPhase::draining : EndpointPhase::ready;
-    taken.changes.push_back({&at->second.backend, name, phase, at->second.started});
+EndpointList::Changes EndpointList::update(Nanos read_at, WallTime wall_time,
+                                           std::vector<Endpoint> endpoints) {
+  if (endpoints.empty()) throw net::Error("the roll names nobody");
+  std::map<std::string, KnownEndpoint> next;
+  Changes changes{!has_list_, {}};
+  for (auto& listed : endpoints) {
+    if (listed.name.empty()) throw net::Error("the roll holds a backend without a name");
+    const auto started = start_of(listed, read_at, wall_time);
+    const std::string name = listed.name;
+    const auto [entry, is_new] = next.try_emplace(name, KnownEndpoint{std::move(listed), started});
+    if (!is_new) throw net::Error("the roll names " + name + " twice");
+    const Endpoint& endpoint = entry->second.endpoint;
+    if (!is_changed(endpoint)) continue;
+    const auto phase = endpoint.draining ? EndpointPhase::draining : EndpointPhase::ready;
+    changes.changes.push_back({&endpoint, name, phase, started});
   }
   for (const auto& [name, known] : known_) {
-    if (!next.contains(name)) taken.changes.push_back({nullptr, name, EndpointPhase::gone, std::nullopt});
+    if (!next.contains(name)) changes.changes.push_back({nullptr, name, EndpointPhase::gone, std::nullopt});
   }
-  std::sort(taken.changes.begin(), taken.changes.end(),
-            [](const EndpointChange& a, const EndpointChange& b) { return a.name < b.name; });
-  known_ = std::move(next);  // nodes keep their place, so the changes go on pointing at them
-  last_read_ = read;
-  any_ = true;
-  return taken;
+  std::sort(changes.changes.begin(), changes.changes.end(),
+            [](const EndpointChange& left, const EndpointChange& right) { return left.name < right.name; });
+  known_ = std::move(next);  // entries keep their addresses, so the changes go on pointing at them
+  last_read_at_ = read_at;
+  has_list_ = true;
+  return changes;
 }
 
 }  // namespace ospreypost::discovery
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -34,7 +34,7 @@
 ospreypost_package(http http.cpp NEEDS ospreypost_net)
 ospreypost_package(config xml.cpp config.cpp NEEDS ospreypost_net ospreypost_client_ttl_policy LibXml2::LibXml2)
 target_include_directories(ospreypost_config PUBLIC ${PROJECT_BINARY_DIR}/schemas)
-ospreypost_package(discovery endpoint_list.cpp endpoint_file_source.cpp discovery_watcher.cpp
+ospreypost_package(discovery endpoint_list.cpp endpoint_file_source.cpp endpoint_list_update.cpp discovery_watcher.cpp
   NEEDS ospreypost_config ospreypost_http nlohmann_json::nlohmann_json)
 ospreypost_package(resp resp.cpp)
 ospreypost_package(load_reports report_spans.cpp otlp_metrics.cpp load_report_processor.cpp
--- a/tests/program/discovery_test.cpp
+++ b/tests/program/discovery_test.cpp
@@ -1,81 +1,113 @@
-// Rolls are taken whole or not at all.
+// What changes from one endpoint list to the next, and what a file of endpoints may hold.
 #include <gtest/gtest.h>
 
+#include <chrono>
 #include <optional>
+#include <stdexcept>
 #include <string>
 
 #include "discovery/endpoint_file_source.h"
 #include "discovery/endpoint_list.h"
+#include "discovery/name_table.h"
+#include "net/socket.h"
+#include "policy/types.h"
 #include "program/support.h"
 
-namespace ospreypost {
+namespace ospreypost::discovery {
 namespace {
 
 using namespace std::chrono_literals;
 
-discovery::Endpoint backend(const std::string& name,
-                            std::optional<discovery::WallTime> started = std::nullopt) {
-  discovery::Endpoint made;
+Endpoint endpoint(const std::string& name, std::optional<WallTime> started = std::nullopt) {
+  Endpoint made;
   made.name = name;
   made.started = started;
   return made;
 }
 
-discovery::WallTime wall(Nanos at) { return discovery::WallTime(at); }
+WallTime wall(Nanos since_epoch) { return WallTime(since_epoch); }
 
-TEST(EndpointList, TellsWhatDiffers) {
-  discovery::EndpointList roll;
-  EXPECT_TRUE(roll.update(10s, wall(100s), {backend("b"), backend("a")}).is_first_list);
-  auto draining = backend("a");
+TEST(EndpointListTest, ReportsWhatDiffersFromTheListBefore) {
+  EndpointList list;
+  EXPECT_TRUE(list.update(10s, wall(100s), {endpoint("b"), endpoint("a")}).is_first_list);
+  auto draining = endpoint("a");
   draining.draining = true;
-  const auto taken = roll.update(11s, wall(101s), {draining, backend("c")});
-  ASSERT_EQ(taken.changes.size(), 3U);
-  EXPECT_EQ(taken.changes[0].phase, EndpointPhase::draining);
-  EXPECT_EQ(taken.changes[1].phase, EndpointPhase::gone);
-  EXPECT_EQ(taken.changes[2].phase, EndpointPhase::ready);
+
+  const auto update = list.update(11s, wall(101s), {draining, endpoint("c")});
+
+  EXPECT_FALSE(update.is_first_list);
+  ASSERT_EQ(update.changes.size(), 3U);
+  EXPECT_EQ(update.changes[0].phase, EndpointPhase::draining);
+  EXPECT_EQ(update.changes[1].phase, EndpointPhase::gone);
+  EXPECT_EQ(update.changes[1].endpoint, nullptr);
+  EXPECT_EQ(update.changes[2].phase, EndpointPhase::ready);
 }
 
-TEST(EndpointList, WhatIsAbsurdLeavesTheLastGoodOneStanding) {
-  discovery::EndpointList roll;
-  roll.update(10s, wall(100s), {backend("a")});
-  EXPECT_THROW(roll.update(11s, wall(101s), {}), net::Error);
-  EXPECT_THROW(roll.update(12s, wall(102s), {backend("b"), backend("b")}), net::Error);
-  EXPECT_TRUE(roll.update(13s, wall(103s), {backend("a")}).changes.empty());
+TEST(EndpointListTest, KeepsTheLastGoodListWhenOneContradictsItself) {
+  EndpointList list;
+  list.update(10s, wall(100s), {endpoint("a")});
+
+  EXPECT_THROW(list.update(11s, wall(101s), {}), net::Error);
+  EXPECT_THROW(list.update(12s, wall(102s), {endpoint("b"), endpoint("b")}), net::Error);
+
+  EXPECT_TRUE(list.update(13s, wall(103s), {endpoint("a")}).changes.empty());
 }
 
-TEST(EndpointList, AWallClockThatJumpsMakesNothingWarmThatIsCold) {
-  discovery::EndpointList roll;
-  roll.update(10s, wall(1000s), {backend("a", wall(400s))});
+TEST(EndpointListTest, MakesNoRestartedEndpointLookWarmWhenTheWallClockJumps) {
+  EndpointList list;
+  list.update(10s, wall(1000s), {endpoint("a", wall(400s))});
   // Restarted between two readings, and the clock jumped an hour ahead meanwhile.
-  const auto taken = roll.update(12s, wall(4602s), {backend("a", wall(1001s))});
-  ASSERT_EQ(taken.changes.size(), 1U);
-  EXPECT_EQ(taken.changes[0].started, Nanos(10s));
-  // And a start in the future is one of now.
-  EXPECT_EQ(roll.update(14s, wall(0s), {backend("a", wall(4610s))}).changes[0].started, Nanos(14s));
+  const auto update = list.update(12s, wall(4602s), {endpoint("a", wall(1001s))});
+  ASSERT_EQ(update.changes.size(), 1U);
+  EXPECT_EQ(update.changes[0].started, Nanos(10s));
+  // And a start in the future counts as now.
+  EXPECT_EQ(list.update(14s, wall(0s), {endpoint("a", wall(4610s))}).changes[0].started, Nanos(14s));
 }
 
-TEST(EndpointFileSource, NamesWhatIsWrong) {
+TEST(EndpointFileSourceTest, NamesWhatIsWrong) {
   const auto config = test::small_config();
-  const auto fault = [&](const std::string& entry) {
+  const auto error_of = [&](const std::string& entry) {
     try {
-      discovery::parse_endpoint_file("{\"backends\":[" + entry + "]}", config);
+      parse_endpoint_file("{\"backends\":[" + entry + "]}", config);
     } catch (const net::Error& error) {
       return std::string(error.what());
     }
     return std::string("none");
   };
   const std::string good = R"({"name":"a","zone":"east","address":"127.0.0.1:1"})";
-  EXPECT_EQ(fault(good), "none");
-  EXPECT_EQ(fault(R"({"name":"A.b","zone":"east","address":"127.0.0.1:1"})"),
+  EXPECT_EQ(error_of(good), "none");
+  EXPECT_EQ(error_of(R"({"name":"A.b","zone":"east","address":"127.0.0.1:1"})"),
             "the roll's name 'A.b' is no label of a DNS name");
-  EXPECT_EQ(fault(R"({"name":"a","zone":"moon","address":"127.0.0.1:1"})"),
+  EXPECT_EQ(error_of(R"({"name":"a","zone":"moon","address":"127.0.0.1:1"})"),
             "the roll's a: unknown zone 'moon'");
-  EXPECT_EQ(fault(R"({"name":"a","zone":"east","address":"nowhere"})"),
+  EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"nowhere"})"),
             "'nowhere' is not an address and a port");
-  EXPECT_EQ(fault(R"({"name":"a","zone":"east","address":"127.0.0.1:1","weight":0})"),
+  EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"127.0.0.1:1","weight":0})"),
             "the roll's a: weight must be above 0");
-  EXPECT_EQ(fault(good + ","), "the roll is no JSON, or only half of one");
+  EXPECT_EQ(error_of(good + ","), "the roll is no JSON, or only half of one");
+}
+
+TEST(EndpointFileSourceTest, ReadsAStartToTheMicrosecond) {
+  const auto endpoints = parse_endpoint_file(
+      R"({"backends":[{"name":"a","zone":"east","address":"127.0.0.1:1","started":1764575432.250001}]})",
+      test::small_config());
+  ASSERT_EQ(endpoints.size(), 1U);
+  EXPECT_EQ(endpoints[0].started, wall(1764575432250001us));
+  EXPECT_EQ(endpoints[0].cell, "east") << "the zone, where no cell is named";
+  EXPECT_EQ(endpoints[0].weight, 1);
+}
+
+TEST(NameTableTest, GivesEachNameOneIdInTheOrderInWhichTheyCame) {
+  NameTable<ReplicaId> names;
+  EXPECT_EQ(names.id_of("b"), ReplicaId{0});
+  EXPECT_EQ(names.id_of("a"), ReplicaId{1});
+  EXPECT_EQ(names.id_of("b"), ReplicaId{0});
+  EXPECT_EQ(names.size(), 2U);
+  EXPECT_EQ(names.find("a"), ReplicaId{1});
+  EXPECT_FALSE(names.find("c"));
+  EXPECT_EQ(names.name(ReplicaId{1}), "a");
+  EXPECT_THROW(names.name(ReplicaId{2}), std::out_of_range);
 }
 
 }  // namespace
-}  // namespace ospreypost
+}  // namespace ospreypost::discovery
