--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -42,7 +42,7 @@
 
 void ControlPlane::on_published(Nanos now,
                                 const std::optional<routing_state::RoutingState::Publication>& published,
-                                const std::vector<std::pair<AckRequestId, bool>>& marks) {
+                                const std::vector<RequestAcknowledgement>& marks) {
   const bool out_changed = std::exchange(out_changed_, false);
   if (out_changed) publish_out(now);
   if (published) {
@@ -435,7 +435,7 @@
   const auto name_of = [this](ReplicaId id) {
     return static_cast<std::size_t>(id) < replicas_.size() ? std::string_view(replicas_.name(id)) : "";
   };
-  world_.log(with_name(line, name_of), version_->version);
+  world_.log(with_replica_name(line, name_of), version_->version);
 }
 
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -79,7 +79,7 @@
 
  private:
   void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& marks) override;
+                    const std::vector<RequestAcknowledgement>& marks) override;
   void on_ejection_changed(ReplicaId replica, bool out) override;
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool on) override;
--- a/src/control_plane/controller_driver.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-ControllerDriver::ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door)
+ControllerDriver::ControllerDriver(const Options& options, Clock clock, ControllerFrontend& door)
     : clock_(std::move(clock)),
       frontend_(door),
-      gather_(start.gather),
-      routing_state_(start.settings.classes.size()) {
+      gather_(options.gather_time),
+      routing_state_(options.settings.classes.size()) {
   const std::lock_guard held(lock_);
-  governor_ = std::make_unique<record::RecordingController>(start.settings, start.seed, clock_(),
-                                                            static_cast<ActionSink&>(*this), start.record,
-                                                            start.configuration);
+  governor_ = std::make_unique<record::RecordingController>(options.settings, options.seed, clock_(),
+                                                            static_cast<ActionSink&>(*this),
+                                                            options.record_writer, options.configuration);
 }
 
 void ControllerDriver::start(std::function<void()> look, Nanos every) {
@@ -96,9 +96,7 @@
   routing_state_.set_admitted_fraction(action.table, action.classes, action.fraction, action.retry);
 }
 
-void ControllerDriver::handle(const RequestAcknowledgement& action) {
-  marks_.emplace_back(action.request, action.reach_all);
-}
+void ControllerDriver::handle(const RequestAcknowledgement& action) { marks_.push_back(action); }
 
 void ControllerDriver::handle(const StartTimer& action) {
   timers_.start_timer(clock_() + action.delay, action.timer);
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -26,7 +26,7 @@
   // After calls that ordered something; no version if nothing changed that anybody may use.
   virtual void on_published(Nanos now,
                             const std::optional<routing_state::RoutingState::Publication>& published,
-                            const std::vector<std::pair<AckRequestId, bool>>& marks) = 0;
+                            const std::vector<RequestAcknowledgement>& marks) = 0;
   virtual void on_ejection_changed(ReplicaId replica, bool out) = 0;
   virtual void request_health_check(ReplicaId replica) = 0;
   virtual void watch_endpoint_list(bool on) = 0;
@@ -39,14 +39,14 @@
  public:
   // The clock is monotonic and starts anywhere.
   using Clock = std::function<Nanos()>;
-  struct Start {
+  struct Options {
     Settings settings;
     std::uint64_t seed = 0;
-    Nanos gather{};                    // for so long orders are gathered before they are published together
-    record::Writer* record = nullptr;  // outlives the desk
-    std::string configuration;         // as the record keeps it
+    Nanos gather_time{};  // for so long orders are gathered before they are published together
+    record::Writer* record_writer = nullptr;  // outlives the desk
+    std::string configuration;                // as the record keeps it
   };
-  ControllerDriver(const Start& start, Clock clock, ControllerFrontend& door);
+  ControllerDriver(const Options& options, Clock clock, ControllerFrontend& door);
   ~ControllerDriver() override { stop(); }
   // The module's timers run from now on; `look` is called every so often, without the lock.
   void start(std::function<void()> look, Nanos every);
@@ -93,7 +93,7 @@
   mutable std::mutex lock_;
   routing_state::RoutingState routing_state_;
   TimerQueue timers_;
-  std::vector<std::pair<AckRequestId, bool>> marks_;
+  std::vector<RequestAcknowledgement> marks_;
   bool withdrawn_ = false;  // anybody, either way, since the last version
   std::optional<Nanos> publish_at_;
   std::unique_ptr<record::RecordingController> governor_;
--- a/src/control_plane/log_lines.cpp
+++ b/src/control_plane/log_lines.cpp
@@ -6,7 +6,8 @@
 
 namespace ospreypost::control_plane {
 
-std::string with_name(std::string_view line, const std::function<std::string_view(ReplicaId)>& name_of) {
+std::string with_replica_name(std::string_view line,
+                              const std::function<std::string_view(ReplicaId)>& name_of) {
   constexpr std::string_view word = "replica ";
   std::string named(line);
   if (const auto at = named.find(word); at != std::string::npos) {
--- a/src/control_plane/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -16,7 +16,8 @@
 namespace ospreypost::control_plane {
 
 // The module knows numbers only; people know names. Where `name_of` gives none, the number stays.
-std::string with_name(std::string_view line, const std::function<std::string_view(ReplicaId)>& name_of);
+std::string with_replica_name(std::string_view line,
+                              const std::function<std::string_view(ReplicaId)>& name_of);
 
 // Faults of others, which may come by the thousand: no more than one line in each while, with their count.
 class RateLimitedLogger {
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -22,6 +22,7 @@
 #include "platform/platform_config.h"
 #include "platform/stream_event_router.h"
 #include "platform/stream_server.h"
+#include "policy/actions.h"
 #include "policy/controller.h"
 #include "record/recording_controller.h"
 #include "routing_state/routing_state.h"
@@ -101,8 +102,8 @@
   // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
   // simulator: each message has its overhead, and only so many may go to a proxy.
   const auto gather_time = std::max(config_.min_batch_interval, kMinGatherTime);
-  const ControllerDriver::Start start{config_.settings, config_.seed, gather_time, nullptr, ""};
-  return std::make_unique<ControllerDriver>(start, steady_now,
+  const ControllerDriver::Options options{config_.settings, config_.seed, gather_time, nullptr, ""};
+  return std::make_unique<ControllerDriver>(options, steady_now,
                                             static_cast<control_plane::ControllerFrontend&>(*this));
 }
 
@@ -142,7 +143,7 @@
 
 void PlatformServer::on_published(Nanos,
                                   const std::optional<routing_state::RoutingState::Publication>& published,
-                                  const std::vector<std::pair<AckRequestId, bool>>& requests) {
+                                  const std::vector<RequestAcknowledgement>& requests) {
   delivery_.on_published(published, requests);
   if (streams_) streams_->wake();
 }
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -6,7 +6,6 @@
 #include <memory>
 #include <optional>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "control_plane/controller_driver.h"
@@ -22,6 +21,7 @@
 #include "platform/stream_delivery.h"
 #include "platform/stream_event_router.h"
 #include "platform/stream_server.h"
+#include "policy/actions.h"
 #include "policy/controller.h"
 #include "routing_state/routing_state.h"
 
@@ -51,7 +51,7 @@
 
  private:
   void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& requests) override;
+                    const std::vector<RequestAcknowledgement>& requests) override;
   void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool) override {}
--- a/src/platform/stream_delivery.cpp
+++ b/src/platform/stream_delivery.cpp
@@ -5,7 +5,6 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "control_plane/log_lines.h"
@@ -13,6 +12,7 @@
 #include "net/socket.h"
 #include "platform/endpoint_registry.h"
 #include "platform/platform_config.h"
+#include "policy/actions.h"
 #include "policy/controller.h"
 #include "routing_state/routing_state.h"
 
@@ -30,7 +30,7 @@
 }
 
 void StreamDelivery::on_published(const std::optional<routing_state::RoutingState::Publication>& published,
-                                  const std::vector<std::pair<AckRequestId, bool>>& requests) {
+                                  const std::vector<RequestAcknowledgement>& requests) {
   const std::lock_guard lock(mutex_);
   if (published) {
     snapshot_ = published->snapshot;
@@ -82,7 +82,7 @@
 
 std::string StreamDelivery::with_replica_name(std::string_view line) const {
   const std::lock_guard lock(mutex_);
-  return control_plane::with_name(line, [this](ReplicaId replica) { return name_of(replica); });
+  return control_plane::with_replica_name(line, [this](ReplicaId replica) { return name_of(replica); });
 }
 
 void StreamDelivery::release_unused_replicas() {
--- a/src/platform/stream_delivery.h
+++ b/src/platform/stream_delivery.h
@@ -8,7 +8,6 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "discovery/discovery_watcher.h"
@@ -16,6 +15,7 @@
 #include "platform/endpoint_registry.h"
 #include "platform/platform_config.h"
 #include "platform/table_update_encoder.h"
+#include "policy/actions.h"
 #include "policy/controller.h"
 #include "routing_state/routing_snapshot.h"
 #include "routing_state/routing_state.h"
@@ -34,7 +34,7 @@
   /// Takes over a new snapshot, if there is one, and then the acknowledgement requests made with it; each
   /// says whether all proxies are to answer it.
   void on_published(const std::optional<routing_state::RoutingState::Publication>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& requests);
+                    const std::vector<RequestAcknowledgement>& requests);
 
   void on_proxy_joined(ProxyId proxy);
   void on_proxy_left(ProxyId proxy);
