--- a/src/control_plane/controller_driver.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -1,81 +1,108 @@
 #include "control_plane/controller_driver.h"
 
 #include <algorithm>
+#include <chrono>
+#include <functional>
+#include <memory>
+#include <mutex>
+#include <optional>
+#include <utility>
+
+#include "net/threads.h"
+#include "policy/action_sink.h"
+#include "policy/actions.h"
+#include "policy/types.h"
+#include "record/recording_controller.h"
 
 namespace ospreypost::control_plane {
 namespace {
 
-using namespace std::chrono_literals;
+constexpr Nanos kMinTimerWait = std::chrono::microseconds(100);
 
 }  // namespace
 
-ControllerDriver::ControllerDriver(const Options& options, Clock clock, ControllerFrontend& door)
+ControllerDriver::ControllerDriver(const Options& options, Clock clock, ControllerFrontend& frontend)
     : clock_(std::move(clock)),
-      frontend_(door),
-      gather_(options.gather_time),
+      frontend_(frontend),
+      gather_time_(options.gather_time),
       routing_state_(options.settings.classes.size()) {
-  const std::lock_guard held(lock_);
-  governor_ = std::make_unique<record::RecordingController>(options.settings, options.seed, clock_(),
-                                                            static_cast<ActionSink&>(*this),
-                                                            options.record_writer, options.configuration);
+  const std::lock_guard lock(mutex_);
+  controller_ = std::make_unique<record::RecordingController>(options.settings, options.seed, clock_(),
+                                                              static_cast<ActionSink&>(*this),
+                                                              options.record_writer, options.configuration);
 }
 
-void ControllerDriver::start(std::function<void()> look, Nanos every) {
-  timekeeper_ = net::Thread("timekeeper", [this, look = std::move(look), every] { run_timers(look, every); });
+void ControllerDriver::start(std::function<void()> maintenance, Nanos interval) {
+  timer_thread_ = net::Thread("timekeeper", [this, maintenance = std::move(maintenance), interval] {
+    run_timers(maintenance, interval);
+  });
 }
 
 void ControllerDriver::stop() {
   {
-    const std::lock_guard held(lock_);
+    const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  time_changed_.notify_all();
-  timekeeper_.join();
+  wake_up_.notify_all();
+  timer_thread_.join();
+}
+
+// --- With the lock held
+
+bool ControllerDriver::has_unpublished_changes() const {
+  return routing_state_.has_changes() || ejections_changed_ || !acknowledgement_requests_.empty();
 }
 
-// With the lock held, after a call.
 void ControllerDriver::on_called(Nanos now) {
-  if (gather_ <= Nanos{}) return publish(now);
-  if (publish_at_ || !(routing_state_.has_changes() || withdrawn_ || !marks_.empty())) return;
-  publish_at_ = now + gather_;
-  time_changed_.notify_all();
+  if (gather_time_ <= Nanos{}) {
+    publish(now);
+    return;
+  }
+  if (publish_at_ || !has_unpublished_changes()) return;
+  publish_at_ = now + gather_time_;
+  wake_up_.notify_all();
 }
 
 void ControllerDriver::publish(Nanos now) {
   publish_at_.reset();
-  withdrawn_ = false;
+  ejections_changed_ = false;
   const auto published = routing_state_.publish(now);
-  frontend_.on_published(now, published, marks_);
-  marks_.clear();
+  frontend_.on_published(now, published, acknowledgement_requests_);
+  acknowledgement_requests_.clear();
 }
 
-void ControllerDriver::run_timers(const std::function<void()>& look, Nanos every) {
-  std::unique_lock held(lock_);
-  Nanos next_look = clock_() + every;
+// --- The thread of the timers
+
+void ControllerDriver::run_timers(const std::function<void()>& maintenance, Nanos interval) {
+  std::unique_lock lock(mutex_);
+  Nanos next_maintenance = clock_() + interval;
   while (!stopping_) {
     const auto now = clock_();
-    if (const auto timer = timers_.take(now)) {
-      governor_->on_timer(now, *timer);
+    if (const auto timer = timers_.take_due(now)) {
+      controller_->on_timer(now, *timer);
       on_called(now);
-      continue;
-    }
-    if (publish_at_ && now >= *publish_at_) {
+    } else if (publish_at_ && now >= *publish_at_) {
       publish(now);
-      continue;
+    } else if (now >= next_maintenance) {
+      next_maintenance = now + interval;
+      lock.unlock();
+      maintenance();
+      lock.lock();
+    } else {
+      wait_for_next_event(lock, now, next_maintenance);
     }
-    if (now >= next_look) {
-      next_look = now + every;
-      held.unlock();
-      look();
-      held.lock();
-      continue;
-    }
-    auto until = std::min(next_look, timers_.next().value_or(next_look));
-    if (publish_at_) until = std::min(until, *publish_at_);
-    time_changed_.wait_for(held, std::max<Nanos>(until - now, 100us));
   }
 }
 
+void ControllerDriver::wait_for_next_event(std::unique_lock<std::mutex>& lock, Nanos now,
+                                           Nanos next_maintenance) {
+  Nanos next = std::min(next_maintenance, timers_.next_due().value_or(next_maintenance));
+  if (publish_at_) next = std::min(next, *publish_at_);
+  wake_up_.wait_for(lock, std::max(next - now, kMinTimerWait));
+}
+
+// --- The controller's actions, with the lock held
+
 void ControllerDriver::handle(const SetTableEntry& action) {
   routing_state_.set_table_entry(action.table, action.replica, action.weight);
 }
@@ -88,7 +115,7 @@
 
 void ControllerDriver::handle(const SetEjected& action) {
   routing_state_.set_ejected(action.replica, action.ejected);
-  withdrawn_ = true;
+  ejections_changed_ = true;
   frontend_.on_ejection_changed(action.replica, action.ejected);
 }
 
@@ -96,11 +123,13 @@
   routing_state_.set_admitted_fraction(action.table, action.classes, action.fraction, action.retry);
 }
 
-void ControllerDriver::handle(const RequestAcknowledgement& action) { marks_.push_back(action); }
+void ControllerDriver::handle(const RequestAcknowledgement& action) {
+  acknowledgement_requests_.push_back(action);
+}
 
 void ControllerDriver::handle(const StartTimer& action) {
-  timers_.start_timer(clock_() + action.delay, action.timer);
-  time_changed_.notify_all();
+  timers_.add(clock_() + action.delay, action.timer);
+  wake_up_.notify_all();
 }
 
 void ControllerDriver::handle(const WatchEndpointList& action) {
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -1,71 +1,92 @@
-// The module behind its lock, under every door: calls in, its timers, its orders into the book, and one
-// version published after a call, or after all calls of a short while.
+/// Runs the controller: calls on it one at a time, its timers, and one snapshot of its routing state after
+/// each call, or after all calls of a short while.
 #pragma once
 
 #include <condition_variable>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <mutex>
 #include <optional>
 #include <string>
-#include <utility>
+#include <string_view>
 #include <vector>
 
 #include "control_plane/timer_queue.h"
 #include "net/threads.h"
-#include "policy/controller.h"
+#include "policy/action_sink.h"
+#include "policy/actions.h"
+#include "policy/settings.h"
+#include "policy/types.h"
 #include "record/recording_controller.h"
 #include "routing_state/routing_state.h"
 
+namespace ospreypost::record {
+class Writer;
+}
+
 namespace ospreypost::control_plane {
 
-// What a door does with orders. Called under the desk's lock: take note and return.
+/// Carries out those of the controller's actions that leave the process. Called with the driver's lock held:
+/// it may take note and wake others, but must not wait or call the driver.
 class ControllerFrontend {
  public:
   virtual ~ControllerFrontend() = default;
-  // After calls that ordered something; no version if nothing changed that anybody may use.
+  /// After calls that acted on the routing state. `published` is empty if nothing changed that any proxy may
+  /// use; `requests` go with the newest snapshot.
   virtual void on_published(Nanos now,
                             const std::optional<routing_state::RoutingState::Publication>& published,
-                            const std::vector<RequestAcknowledgement>& marks) = 0;
-  virtual void on_ejection_changed(ReplicaId replica, bool out) = 0;
+                            const std::vector<RequestAcknowledgement>& requests) = 0;
+  virtual void on_ejection_changed(ReplicaId replica, bool ejected) = 0;
   virtual void request_health_check(ReplicaId replica) = 0;
-  virtual void watch_endpoint_list(bool on) = 0;
+  virtual void watch_endpoint_list(bool enabled) = 0;
   virtual void refresh_endpoint_list() = 0;
+  /// To all peers if no peer is given.
   virtual void send_to_peer(std::optional<PeerId> peer, std::string_view message) = 0;
   virtual void log(std::string_view line) = 0;
 };
 
+/// Owns the controller, its routing state and its timers, behind one lock. Thread-safe.
 class ControllerDriver : private ActionHandler {
  public:
-  // The clock is monotonic and starts anywhere.
+  /// A monotonic clock that starts anywhere.
   using Clock = std::function<Nanos()>;
+
   struct Options {
     Settings settings;
     std::uint64_t seed = 0;
-    Nanos gather_time{};  // for so long orders are gathered before they are published together
-    record::Writer* record_writer = nullptr;  // outlives the desk
-    std::string configuration;                // as the record keeps it
+    /// Changes are gathered for this long before they are published together; 0: each call by itself.
+    Nanos gather_time{};
+    record::Writer* record_writer = nullptr;  ///< outlives the driver; null: nothing is recorded
+    std::string configuration;                ///< its text, as the record keeps it
   };
-  ControllerDriver(const Options& options, Clock clock, ControllerFrontend& door);
+
+  /// Starts the controller, which may act on the frontend from then on. `frontend` must outlive the driver.
+  ControllerDriver(const Options& options, Clock clock, ControllerFrontend& frontend);
   ~ControllerDriver() override { stop(); }
-  // The module's timers run from now on; `look` is called every so often, without the lock.
-  void start(std::function<void()> look, Nanos every);
+
+  /// Starts the thread that runs the controller's timers. It also calls `maintenance` after each interval,
+  /// without the lock. Throws `net::Error` if no thread can be had.
+  void start(std::function<void()> maintenance, Nanos interval);
+  /// Joins the thread.
   void stop();
 
-  // Takes the lock and makes the call at the present time.
+  /// Takes the lock and makes a call on the controller: `run` is called with a `RecordingController&`, the
+  /// `RoutingState&` and the time.
   template <typename Call>
-  void call(Call made) {
-    const std::lock_guard held(lock_);
+  void call(Call run) {
+    const std::lock_guard lock(mutex_);
     const auto now = clock_();
-    made(*governor_, routing_state_, now);
+    run(*controller_, routing_state_, now);
     on_called(now);
   }
-  // Takes the lock, for those who only look.
-  template <typename Look>
-  void inspect(Look made) const {
-    const std::lock_guard held(lock_);
-    made();
+  /// Takes the lock, so that `read` sees what the frontend's functions change, between two calls.
+  template <typename Read>
+  void inspect(Read read) const {
+    const std::lock_guard lock(mutex_);
+    read();
   }
+  /// The time now, by the clock of the constructor; takes no lock.
   Nanos now() const { return clock_(); }
 
  private:
@@ -83,23 +104,27 @@
   void handle(const LogLine& action) override;
 
   void on_called(Nanos now);
+  bool has_unpublished_changes() const;
   void publish(Nanos now);
-  void run_timers(const std::function<void()>& look, Nanos every);
+  void run_timers(const std::function<void()>& maintenance, Nanos interval);
+  void wait_for_next_event(std::unique_lock<std::mutex>& lock, Nanos now, Nanos next_maintenance);
 
   const Clock clock_;
   ControllerFrontend& frontend_;
-  const Nanos gather_;
-  // Never held while anything is read or written.
-  mutable std::mutex lock_;
+  const Nanos gather_time_;
+
+  mutable std::mutex mutex_;
+  // Guarded by `mutex_`, under which no I/O happens.
   routing_state::RoutingState routing_state_;
   TimerQueue timers_;
-  std::vector<RequestAcknowledgement> marks_;
-  bool withdrawn_ = false;  // anybody, either way, since the last version
+  std::vector<RequestAcknowledgement> acknowledgement_requests_;  // since the last snapshot
+  bool ejections_changed_ = false;                                // since the last snapshot
   std::optional<Nanos> publish_at_;
-  std::unique_ptr<record::RecordingController> governor_;
-  std::condition_variable time_changed_;
+  std::unique_ptr<record::RecordingController> controller_;
   bool stopping_ = false;
-  net::Thread timekeeper_;
+
+  std::condition_variable wake_up_;  // waited for with `mutex_`
+  net::Thread timer_thread_;
 };
 
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -1,13 +1,17 @@
-// What both services do to lines before they are logged.
+/// How lines are prepared for the log: names in place of numbers, and a limit on how many errors of others
+/// are logged.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace spdlog {
 class logger;
@@ -15,22 +19,29 @@
 
 namespace ospreypost::control_plane {
 
-// The module knows numbers only; people know names. Where `name_of` gives none, the number stays.
+/// The controller's line, which knows replicas by number only, with the name in place of the first number
+/// after "replica ". Where `name_of` returns an empty name, the number stays.
 std::string with_replica_name(std::string_view line,
                               const std::function<std::string_view(ReplicaId)>& name_of);
 
-// Faults of others, which may come by the thousand: no more than one line in each while, with their count.
+/// Logs errors that others cause, which may come by the thousand, in at most one line for each interval.
+/// Thread-safe.
 class RateLimitedLogger {
  public:
-  RateLimitedLogger(std::shared_ptr<spdlog::logger> log, Nanos every) : log_(std::move(log)), every_(every) {}
-  void add(const std::string& what);  // from any thread
+  RateLimitedLogger(std::shared_ptr<spdlog::logger> log, Nanos interval)
+      : log_(std::move(log)), interval_(interval) {}
+  /// Counts an error. Logs a warning with the count and this error, unless the interval since the last line
+  /// is not over yet.
+  void add(const std::string& what);
 
  private:
   const std::shared_ptr<spdlog::logger> log_;
-  const Nanos every_;
-  std::mutex lock_;
-  Nanos last_{};
-  std::size_t since_ = 0;
+  const Nanos interval_;
+
+  std::mutex mutex_;
+  // Guarded by `mutex_`.
+  std::optional<Nanos> last_logged_at_;
+  std::size_t count_since_last_line_ = 0;
 };
 
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/timer_queue.h
+++ b/src/control_plane/timer_queue.h
@@ -1,30 +1,34 @@
-// When the governor wants to be called: by time on a monotonic clock, in the order armed where times are
-// equal.
+/// The controller's timers by the time at which they are due.
 #pragma once
 
 #include <map>
 #include <optional>
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::control_plane {
 
+/// Times are those of one monotonic clock. Timers that are due at the same time keep the order in which they
+/// were added. Not thread-safe.
 class TimerQueue {
  public:
-  void start_timer(Nanos at, TimerId timer) { due_.emplace(at, timer); }
-  std::optional<Nanos> next() const {
-    return due_.empty() ? std::nullopt : std::optional(due_.begin()->first);
+  /// One id may be added several times, and is then due as often.
+  void add(Nanos due, TimerId timer) { timers_.emplace(due, timer); }
+  /// When the first timer is due; empty if there is none.
+  std::optional<Nanos> next_due() const {
+    if (timers_.empty()) return std::nullopt;
+    return timers_.begin()->first;
   }
-  // The first that is due by then, if any; it is taken out.
-  std::optional<TimerId> take(Nanos now) {
-    if (due_.empty() || due_.begin()->first > now) return std::nullopt;
-    const auto timer = due_.begin()->second;
-    due_.erase(due_.begin());
+  /// Removes the first timer that is due at `now` or earlier, and returns it; empty if none is.
+  std::optional<TimerId> take_due(Nanos now) {
+    if (timers_.empty() || timers_.begin()->first > now) return std::nullopt;
+    const auto timer = timers_.begin()->second;
+    timers_.erase(timers_.begin());
     return timer;
   }
 
  private:
-  std::multimap<Nanos, TimerId> due_;
+  std::multimap<Nanos, TimerId> timers_;  // by the time at which they are due
 };
 
 }  // namespace ospreypost::control_plane
