--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -113,7 +113,7 @@
   discovery::EndpointList roll;
   auto listed = bench::fleet_roll(replicas, config);
   const auto wall = [] { return discovery::WallTime(now()); };
-  live.on_endpoint_list_changed(roll.take(now(), wall(), listed));
+  live.on_endpoint_list_changed(roll.update(now(), wall(), listed));
   std::vector<double> calls;  // microseconds
   const auto timed = [&](auto call) {
     const auto begun = now();
@@ -145,7 +145,7 @@
       }
       const auto told = on_query(p);
       const ProxyId id{static_cast<std::uint16_t>(p)};
-      live.reported(id);
+      live.on_report(id);
       if (told.proxy_snapshot && told.proxy_snapshot->routing_tables[0]) {
         lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->lines.size());
         for (const auto& line : told.proxy_snapshot->routing_tables[0]->lines) {
@@ -166,14 +166,14 @@
     auto draining = listed;
     draining[drained].draining = true;
     const auto told_at = now();
-    timed([&] { live.on_endpoint_list_changed(roll.take(told_at, wall(), draining)); });
+    timed([&] { live.on_endpoint_list_changed(roll.update(told_at, wall(), draining)); });
     listed = draining;
     const ReplicaId gone{*live.find_replica(listed[drained].name)};
     drained = std::min(drained + 1, replicas / 3);
     bool named = true;
     while (named && now() - told_at < 2s) {
       named = false;
-      const auto version = live.standing().version;
+      const auto version = live.status().snapshot;
       for (const auto& [proxy, proxy_snapshot] : version->proxy_snapshots) {
         for (const auto& line : proxy_snapshot->routing_tables[0]->entries)
           named = named || line.replica == gone;
@@ -194,7 +194,7 @@
       "%.2f ms, most "
       "%.2f ms; resident %.0f MiB; lines waiting at most %.0f of %.0f\n",
       used / wall_took, at(shown, 0.5), at(shown, 1), resident_mib(),
-      live.standing().counts.max_queued_entries, config.settings.channel_max_queued_entries);
+      live.status().pull_counts.max_queued_entries, config.settings.channel_max_queued_entries);
   if (record) {
     live.stop();
     record->stop();
--- a/src/control_plane/control_plane_server.h
+++ b/src/control_plane/control_plane_server.h
@@ -1,18 +1,32 @@
-// The running governor: sources, intake and fronts round the live governor, started and stopped together.
+/// A control plane instance in service: the endpoint list's source, load reports, DNS, HTTP and pushes around
+/// the control plane.
 #pragma once
 
 #include <atomic>
 #include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
 
 #include "config/config.h"
 #include "control_plane/control_plane.h"
+#include "control_plane/control_plane_host.h"
+#include "control_plane/health_checker.h"
+#include "control_plane/http_api.h"
 #include "control_plane/log_lines.h"
 #include "discovery/endpoint_file_source.h"
+#include "discovery/endpoint_list.h"
+#include "dns/responder.h"
 #include "dns/server.h"
 #include "files/pusher.h"
 #include "http/http.h"
 #include "load_reports/load_report_processor.h"
+#include "net/socket.h"
+#include "policy/observations.h"
+#include "policy/types.h"
+#include "record/origin.h"
 #include "record/writer.h"
+#include "routing_state/routing_snapshot.h"
 
 namespace spdlog {
 class logger;
@@ -20,54 +34,54 @@
 
 namespace ospreypost::control_plane {
 
+/// Starts and stops the parts, and passes calls between them.
 class ControlPlaneServer : private ControlPlaneHost,
                            private discovery::EndpointSourceListener,
                            private load_reports::LoadReportListener {
  public:
-  // Throws net::Error if an address cannot be had. Serves from then on.
-  ControlPlaneServer(const config::Config& config, std::shared_ptr<spdlog::logger> log);
+  /// Throws `net::Error` if an address cannot be had. Serves from then on.
+  ControlPlaneServer(config::Config config, std::shared_ptr<spdlog::logger> log);
   ~ControlPlaneServer() override { stop(); }
-  net::Address dns_address() const { return dns_->address(); }
-  net::Address http_address() const { return http_->address(); }
-  // Within a second.
+  net::Address dns_address() const { return dns_server_->address(); }
+  net::Address http_address() const { return http_server_->address(); }
+  /// Ends all connections and joins all threads, within a second.
   void stop();
 
  private:
-  void request_health_check(ReplicaId replica, const net::Address& at) override;
+  void request_health_check(ReplicaId replica, const net::Address& address) override;
   void refresh_endpoint_list() override;
   void log(std::string_view line, routing_state::SnapshotVersion version) override;
-  void on_endpoint_list_changed(const discovery::EndpointList::Changes& taken) override;
+
+  void on_endpoint_list_changed(const discovery::EndpointList::Changes& changes) override;
   void on_endpoint_list_unreadable(const std::string& why) override;
+
   std::optional<ReplicaId> find_replica(std::string_view name) const override;
-  void on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) override {
-    live_->on_replica_load_report(sum, origin);
-  }
-  void on_demand_report(const DemandReport& demand, const record::Origin& origin) override {
-    live_->on_demand_report(demand, origin);
-  }
-  void reported(ProxyId proxy) override { live_->reported(proxy); }
+  void on_replica_load_report(const ReplicaLoadReport& report, const record::Origin& origin) override;
+  void on_demand_report(const DemandReport& report, const record::Origin& origin) override;
+  void reported(ProxyId proxy) override { control_plane_->on_report(proxy); }
 
-  http::Response answer(const http::Request& request);
-  http::Response take_metrics(const http::Request& request);
-  // /generations/PROXY, /rollback/PROXY?version=N
-  http::Response answer_generations(const std::string& proxy);
-  http::Response answer_rollback(const std::string& rest);
-  void log_peer_error(const std::string& what) { complaints_.add(what); }
-  void ask_load(ReplicaId replica, const net::Address& at);
+  std::unique_ptr<record::Writer> make_record_writer() const;
+  std::unique_ptr<ControlPlane> make_control_plane();
+  std::unique_ptr<HealthChecker> make_health_checker();
+  std::unique_ptr<http::Server> make_http_server();
+  void log_peer_error(const std::string& what) { peer_errors_.add(what); }
 
   const config::Config config_;
   const std::shared_ptr<spdlog::logger> log_;
-  RateLimitedLogger complaints_;
-  std::unique_ptr<record::Writer> record_;
-  std::unique_ptr<ControlPlane> live_;
-  std::unique_ptr<load_reports::LoadReportProcessor> intake_;
-  std::unique_ptr<dns::Responder> responder_;
-  std::unique_ptr<net::ThreadPool> probers_;
-  std::unique_ptr<dns::Server> dns_;
-  std::unique_ptr<http::Server> http_;
-  std::unique_ptr<files::Pusher> pusher_;
-  std::unique_ptr<discovery::EndpointFileSource> roll_;
+  RateLimitedLogger peer_errors_;
   std::atomic<bool> stopped_ = false;
+
+  // In the order in which they start.
+  std::unique_ptr<record::Writer> record_writer_;  // null: nothing is recorded
+  std::unique_ptr<ControlPlane> control_plane_;
+  std::unique_ptr<load_reports::LoadReportProcessor> load_reports_;
+  std::unique_ptr<dns::Responder> dns_responder_;
+  std::unique_ptr<HealthChecker> health_checker_;
+  std::unique_ptr<dns::Server> dns_server_;
+  std::unique_ptr<HttpApi> http_api_;
+  std::unique_ptr<http::Server> http_server_;
+  std::unique_ptr<files::Pusher> pusher_;
+  std::unique_ptr<discovery::EndpointFileSource> endpoint_source_;
 };
 
 }  // namespace ospreypost::control_plane
--- /dev/null
+++ b/src/control_plane/http_api.h
@@ -0,0 +1,52 @@
+/// The HTTP interface of a control plane: load reports, its status, and the generations of table files.
+#pragma once
+
+#include <atomic>
+#include <memory>
+#include <string>
+
+#include "config/config.h"
+#include "control_plane/control_plane.h"
+#include "control_plane/log_lines.h"
+#include "files/pusher.h"
+#include "http/http.h"
+#include "load_reports/load_report_processor.h"
+
+namespace spdlog {
+class logger;
+}
+
+namespace ospreypost::control_plane {
+
+/// Answers requests. Thread-safe.
+class HttpApi {
+ public:
+  /// What it serves, which must outlive it.
+  struct Targets {
+    const config::Config& config;
+    ControlPlane& control_plane;
+    load_reports::LoadReportProcessor& load_reports;
+    RateLimitedLogger& peer_errors;
+  };
+  HttpApi(const Targets& targets, std::shared_ptr<spdlog::logger> log)
+      : targets_(targets), log_(std::move(log)) {}
+
+  /// Until then, requests about generations are rejected. `pusher` must outlive the requests.
+  void set_pusher(files::Pusher* pusher) { pusher_ = pusher; }
+  http::Response handle(const http::Request& request);
+
+ private:
+  // POST /v1/metrics
+  http::Response receive_metrics(const http::Request& request);
+  // GET /generations/PROXY
+  http::Response show_generations(const std::string& proxy_name);
+  // POST /rollback/PROXY?version=N
+  http::Response roll_back(const std::string& proxy_and_query);
+  http::Response show_status(const std::string& target);
+
+  const Targets targets_;
+  const std::shared_ptr<spdlog::logger> log_;
+  std::atomic<files::Pusher*> pusher_ = nullptr;
+};
+
+}  // namespace ospreypost::control_plane
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -61,7 +61,7 @@
   net::CancellationEvent cancellation_;
 
   // Used by the thread alone.
-  bool needs_complete_list_ = false;          // asks without a revision
+  bool needs_complete_list_ = false;          // requests without a revision
   bool received_complete_list_ = false;       // on this connection
   std::optional<net::Deadline> stale_since_;  // sends lists that are older than the known one
 
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -55,7 +55,7 @@
 
   /// Watches another address at once; the old one is read on for a short while.
   void move_to(const net::Address& address);
-  /// Asks for the complete list anew.
+  /// Requests the complete list anew.
   void refresh();
   /// Ends all watches and joins their threads.
   void stop();
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -12,9 +12,9 @@
 
 namespace ospreypost::discovery {
 
-// A start that the wall clock puts in the future counts as now, and one that happened while this list was
-// being read cannot lie before the last reading that did not show it. So a wall clock that jumps never makes
-// a replica that is warming up look warm.
+// A start that the wall clock puts in the future counts as now, and an incarnation that this list is the
+// first to show cannot have started before the last list was read. So a wall clock that jumps never makes a
+// replica that is warming up look warm.
 std::optional<Nanos> EndpointList::start_of(const Endpoint& endpoint, Nanos read_at,
                                             WallTime wall_time) const {
   const auto before = known_.find(endpoint.name);
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -54,7 +54,8 @@
 target_link_libraries(ospreypost_record_schema PUBLIC protobuf::libprotobuf)
 ospreypost_package(record blocks.cpp reader.cpp edit.cpp writer.cpp action_encoder.cpp recording_controller.cpp
   NEEDS ospreypost_record_schema ospreypost_net ospreypost_policy PkgConfig::ZSTD PkgConfig::XXHASH)
-ospreypost_package(control_plane controller_driver.cpp log_lines.cpp control_plane.cpp status.cpp control_plane_server.cpp
+ospreypost_package(control_plane controller_driver.cpp log_lines.cpp published_state.cpp endpoint_directory_keeper.cpp
+  pull_proxies.cpp push_proxies.cpp control_plane.cpp status.cpp health_checker.cpp http_api.cpp control_plane_server.cpp
   NEEDS ospreypost_routing_state ospreypost_discovery ospreypost_load_reports ospreypost_dns ospreypost_files
         ospreypost_record ospreypost_http spdlog::spdlog)
 ospreypost_package(platform platform_config.cpp messages.cpp table_push.cpp table_update_encoder.cpp endpoint_registry.cpp
