--- a/tests/policy/fleet_fixture.h
+++ b/tests/policy/fleet_fixture.h
@@ -1,9 +1,9 @@
 /// A small fleet for the tests of the parts that look at all replicas.
 #pragma once
 
+#include "policy/controller_fixture.h"
 #include "policy/fleet_statistics.h"
 #include "policy/recording_sink.h"
-#include "support.h"
 
 namespace ospreypost::test {
 
--- a/tests/policy/load_feedback_test.cpp
+++ b/tests/policy/load_feedback_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cmath>
 
-#include "support.h"
+#include "policy/controller_fixture.h"
 
 namespace ospreypost::policy {
 namespace {
--- a/tests/policy/request_classes_test.cpp
+++ b/tests/policy/request_classes_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support.h"
+#include "policy/controller_fixture.h"
 
 namespace ospreypost::policy {
 namespace {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -2,8 +2,8 @@
 
 #include <gtest/gtest.h>
 
+#include "policy/controller_fixture.h"
 #include "policy/recording_sink.h"
-#include "support.h"
 
 namespace ospreypost::policy {
 namespace {
