--- a/tests/policy/controller_fixture.h
+++ b/tests/policy/controller_fixture.h
@@ -8,6 +8,7 @@
 #include <map>
 #include <set>
 #include <string>
+#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -62,7 +63,9 @@
 struct ProxyClass {
   ProxyId proxy{};
   unsigned cls = 0;
-  auto operator<=>(const ProxyClass&) const = default;
+  bool operator<(const ProxyClass& other) const {
+    return std::tie(proxy, cls) < std::tie(other.proxy, other.cls);
+  }
 };
 
 /// Holds what the proxies would hold.
--- a/tests/policy/fleet_fixture.h
+++ b/tests/policy/fleet_fixture.h
@@ -1,6 +1,8 @@
 /// A small fleet for the tests of the parts that look at all replicas.
 #pragma once
 
+#include <utility>
+
 #include "policy/controller_fixture.h"
 #include "policy/fleet_statistics.h"
 #include "policy/recording_sink.h"
@@ -9,8 +11,8 @@
 
 /// Replicas with outcomes, and the parts that those who judge them need.
 struct Fleet {
-  explicit Fleet(const Settings& fleet_settings = small_settings())
-      : settings(fleet_settings),
+  explicit Fleet(Settings fleet_settings = small_settings())
+      : settings(std::move(fleet_settings)),
         clock(std::chrono::seconds(100), std::chrono::milliseconds(500)),
         classes(settings),
         load_signal(settings),
--- a/tests/policy/slow_channel_test.cpp
+++ b/tests/policy/slow_channel_test.cpp
@@ -67,9 +67,10 @@
 TEST(SlowChannelTest, DrainsAreSentAsItEmpties) {
   SlowChannelFixture fixture(0.15);
   for (unsigned second = 0; second < 20; ++second) fixture.run_second(second);
-  for (std::uint32_t id = 0; id < 5; ++id)
+  for (std::uint32_t id = 0; id < 5; ++id) {
     fixture.controller.on_endpoint_list(fixture.proxies.now, EndpointListKind::changes,
                                         {entry(id, 0, EndpointPhase::draining)});
+  }
   fixture.proxies.send_messages();
   for (unsigned second = 0; second < 10; ++second) fixture.run_second(second);
   EXPECT_EQ(fixture.proxies.ejected.size(), 5U);
