--- a/src/program.cmake
+++ b/src/program.cmake
@@ -25,7 +25,8 @@
   target_link_libraries(ospreypost_${name} PUBLIC ${PACKAGE_NEEDS})
 endfunction()
 
-ospreypost_package(routing_state routing_state.cpp pull_delivery.cpp push_scheduler.cpp lease_table.cpp
+ospreypost_package(routing_state routing_snapshot.cpp routing_state.cpp token_bucket_limiter.cpp send_queue.cpp
+  pull_delivery.cpp push_scheduler.cpp lease_table.cpp
   NEEDS ospreypost_policy)
 # Free of I/O, and needed by the configuration, which the rest of dns/ needs.
 add_library(ospreypost_client_ttl_policy STATIC ${PROJECT_SOURCE_DIR}/src/dns/client_ttl_policy.cpp)
--- a/src/routing_state/lease_table.cpp
+++ b/src/routing_state/lease_table.cpp
@@ -4,17 +4,17 @@
 
 namespace ospreypost::routing_state {
 
-LeaseTable::Ownership LeaseTable::observe(ProxyId proxy, const RemoteState& met) {
-  auto [known, first] = epochs_.try_emplace(proxy, start_);
-  auto& epoch = known->second;
-  if (first) {
-    if (met.has_table) epoch = std::max(epoch, met.epoch + 1);
+LeaseTable::Ownership LeaseTable::observe(ProxyId proxy, const RemoteState& remote) {
+  const auto [entry, is_first] = epochs_.try_emplace(proxy, first_epoch_);
+  std::uint64_t& epoch = entry->second;
+  if (is_first) {
+    if (remote.has_table) epoch = std::max(epoch, remote.epoch + 1);
     return Ownership::claimed;
   }
-  if (!met.has_table || met.epoch < epoch) return Ownership::ours;
-  if (met.owner == owner_ && met.epoch == epoch) return Ownership::ours;
-  if (!met.lease_expired) return Ownership::theirs;
-  epoch = met.epoch + 1;
+  if (!remote.has_table || remote.epoch < epoch) return Ownership::ours;
+  if (remote.owner == owner_ && remote.epoch == epoch) return Ownership::ours;
+  if (!remote.lease_expired) return Ownership::theirs;
+  epoch = remote.epoch + 1;
   return Ownership::claimed;
 }
 
--- a/src/routing_state/lease_table.h
+++ b/src/routing_state/lease_table.h
@@ -1,53 +1,58 @@
-// By which epoch a governor orders each proxy that keeps its tables, and whether it may. Pure.
-//
-// Whoever stores a proxy's tables refuses what carries a lower epoch than what it holds, or the same from
-// another process. So of two governors that both order, one wins at each proxy, whatever arrives in which
-// order; the other learns it at its next push or look, and steps down there.
-//
-// A process claims a proxy at its first meeting, above whatever lies there: the one that was started last is
-// the one that the operators mean, also when the wall clock went back between the two starts. After that it
-// claims again only what nobody has spoken to for the lease of its table.
+/// Which proxies this process may push tables to, and by which epoch. Free of I/O.
+///
+/// Whoever stores a proxy's tables rejects a table with a lower epoch than the one it holds, or with the same
+/// epoch from another process. So of two processes that push to a proxy one wins, in whatever order their
+/// messages arrive; the other learns it with its next push or liveness check, and gives the proxy up.
+///
+/// A process claims a proxy when it first observes it, above the epoch found there: the process that was
+/// started last is the one that the operators mean, even if the wall clock went back between two starts.
+/// After that it claims a proxy again only if the lease of the table found there has expired.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "routing_state/routing_snapshot.h"
 
 namespace ospreypost::routing_state {
 
-// What lies at a proxy, as it says itself.
+/// The table that a proxy holds, as its receiver reports it.
 struct RemoteState {
-  bool has_table = false;  // something does
+  bool has_table = false;  ///< the other fields say nothing without one
   std::uint64_t epoch = 0;
   SnapshotVersion version{};
-  std::string owner;           // the process that ordered it
-  bool lease_expired = false;  // nobody who holds it has spoken within its lease
-  // After a way back by hand: the replicas that it goes by instead of the newest's, by name.
+  std::string owner;           ///< the process that pushed it
+  bool lease_expired = false;  ///< the owner has sent nothing within the lease
+  /// After a rollback by hand: the names of the replicas that the proxy uses in place of the newest table's.
   std::vector<std::string> rolled_back_to;
 };
 
+/// Not synchronised: the owner calls it under a lock.
 class LeaseTable {
  public:
-  // `start`: epochs of first claims are at least this; `owner`: names this process alone.
-  LeaseTable(std::uint64_t start, std::string owner) : start_(start), owner_(std::move(owner)) {}
+  /// `first_epoch`: the lowest epoch of a first claim; `owner`: identifies this process among all.
+  LeaseTable(std::uint64_t first_epoch, std::string owner)
+      : first_epoch_(first_epoch), owner_(std::move(owner)) {}
 
+  /// Who may push to a proxy.
   enum class Ownership {
-    ours,     // goes on
-    claimed,  // ours from now on; what lies there is not of this claim
-    theirs,
+    ours,     ///< this process, as before
+    claimed,  ///< this process from now on; the table found there is not of this claim
+    theirs,   ///< another process
   };
-  Ownership observe(ProxyId proxy, const RemoteState& met);
-  // To order by; 0 before the first claim.
+  /// Decides by what the proxy reports, and claims it if it may be claimed.
+  Ownership observe(ProxyId proxy, const RemoteState& remote);
+  /// The epoch to push with; 0 before the first claim.
   std::uint64_t epoch(ProxyId proxy) const;
   const std::string& owner() const { return owner_; }
 
  private:
-  const std::uint64_t start_;
+  const std::uint64_t first_epoch_;
   const std::string owner_;
-  std::map<ProxyId, std::uint64_t> epochs_;  // of those met
+  std::map<ProxyId, std::uint64_t> epochs_;  // of the proxies observed
 };
 
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/pull_delivery.h
+++ b/src/routing_state/pull_delivery.h
@@ -1,89 +1,89 @@
-// What each pulling proxy was last given, what waits for it, and whether it may be given more now. Pure.
-//
-// A proxy pulls: what waits for it does so here, merged, until it asks. The first answer that shows it a
-// change is a message; repeats of what it already holds are none, whatever the number of names that it asks
-// for. So that no window ever holds more messages than allowed, each proxy has a bucket of tokens: a plain
-// change waits for a full one, a withdrawal is told while there is any.
+/// Which configuration each pulling proxy was last answered with, what waits for it, and whether it may be
+/// answered with something newer now. Free of I/O.
+///
+/// Changes for a proxy that pulls wait, merged, until it asks. The first answer that carries a change counts
+/// as a message; answers that repeat what it already uses do not, whatever the number of names that it asks
+/// for. A token bucket for each proxy keeps the messages within their limit: a normal change waits for a full
+/// bucket, an urgent one, such as an ejection, only for a token.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
 #include <vector>
 
 #include "routing_state/routing_snapshot.h"
+#include "routing_state/send_queue.h"
 #include "routing_state/token_bucket_limiter.h"
 
 namespace ospreypost::routing_state {
 
+/// What the channel to the proxies can carry.
 struct ChannelLimits {
-  double message_overhead_entries = 0;      // of each message
-  std::size_t max_messages_per_window = 0;  // to one proxy within the window; 0: no limit
+  double message_overhead_entries = 0;      ///< that each message costs beyond its own entries
+  std::size_t max_messages_per_window = 0;  ///< to one proxy; 0: no limit
   Nanos window{};
 };
 
+/// Not synchronised: the owner calls it under a lock.
 class PullDelivery {
  public:
   explicit PullDelivery(const ChannelLimits& limits);
 
-  void add_proxy(Nanos now, ProxyId proxy);
-  void remove_proxy(ProxyId proxy);
-  // `holding` is what now stands for the proxy, `lines` what changed with it.
-  void on_published(Nanos now, ProxyId proxy, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
-                    std::size_t lines);
+  /// The proxy starts anew: nothing is known of what it uses.
+  void add_proxy(Nanos now, ProxyId id);
+  void remove_proxy(ProxyId id);
+  /// `proxy_snapshot`: the proxy's configuration from now on; `entries`: how many of its entries changed.
+  /// Does nothing for an unknown proxy.
+  void on_published(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
+                    std::size_t entries);
 
-  // What the proxy may be answered from at this moment. Null when nothing can be said that keeps the rules:
-  // it has not joined, is bound to nothing, or what it was last given names a replica that is withdrawn since
-  // and no message is left.
-  std::shared_ptr<const ProxySnapshot> take_answer(Nanos now, ProxyId proxy);
+  /// The configuration to answer the proxy from now. Null if it has not joined, if it is bound to no table,
+  /// or if what it uses must not be repeated (see `requires_urgent_update`) and no token is left for a
+  /// message.
+  std::shared_ptr<const ProxySnapshot> take_answer(Nanos now, ProxyId id);
 
-  void request_acknowledgement(Nanos now, AckRequestId mark, SnapshotVersion reached_with,
-                               const std::vector<ProxyId>& by);
+  /// Each of these proxies acknowledges the request once it was answered from `version` or something newer.
+  void request_acknowledgement(Nanos now, AckRequestId request, SnapshotVersion version,
+                               const std::vector<ProxyId>& proxies);
+  /// A proxy acknowledged a request.
   struct Acknowledgement {
     AckRequestId request{};
     ProxyId proxy{};
-    Nanos latency{};
+    Nanos latency{};  ///< since the request
   };
-  // The marks that the proxy has reached with what it was last given, each told once.
-  std::vector<Acknowledgement> take_acknowledged(Nanos now, ProxyId proxy);
+  /// The requests that the proxy has acknowledged since the last call, in their order.
+  std::vector<Acknowledgement> take_acknowledged(Nanos now, ProxyId id);
 
-  struct Counts {
-    double queued_entries = 0;
-    double max_queued_entries = 0;  //, since the start
-    std::uint64_t messages = 0;     // since the start
-    std::uint64_t rate_limited_queries =
-        0;  // questions answered with what was known, or not at all, for want of a token
+  /// The queue totals, and counts since the start.
+  struct Counts : SendQueueTotals {
+    std::uint64_t messages = 0;
+    /// Queries that got an older configuration, or none, for want of a token.
+    std::uint64_t rate_limited_queries = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
-  struct Mark {
-    AckRequestId id{};
-    SnapshotVersion with{};
-    Nanos ordered{};
+  struct PendingAcknowledgement {
+    AckRequestId request{};
+    SnapshotVersion version{};
+    Nanos requested_at{};
   };
   struct Proxy {
-    std::shared_ptr<const ProxySnapshot> given, standing;
-    double waiting = 0;
+    std::shared_ptr<const ProxySnapshot> answered;  // null: nothing yet
+    std::shared_ptr<const ProxySnapshot> latest;
+    SendQueue queue;
     TokenBucketLimiter::Bucket bucket;
-    std::deque<Mark> marks;
+    std::deque<PendingAcknowledgement> pending_acknowledgements;
   };
-  void wait(Proxy& proxy, double lines);
+  static bool has_reached(const Proxy& proxy, SnapshotVersion version);
 
-  const double head_lines_;
-  const TokenBucketLimiter limit_;
+  const double message_overhead_entries_;
+  const TokenBucketLimiter limiter_;
   std::map<ProxyId, Proxy> proxies_;
   Counts counts_;
 };
 
-// The lines that the whole of a holding takes, terms included.
-std::size_t entry_count(const ProxySnapshot& proxy_snapshot);
-// What waits for a proxy when `lines` more come to `waiting` that do: merged, so that it never passes what
-// the whole of its tables would be, head included.
-double merged_queue_size(double waiting, std::size_t lines, const ProxySnapshot& standing, double head_lines);
-
-// Whether a proxy that goes on with `given` could send where `standing` would not let it: to a replica that
-// is no longer there, or with less than half of its former weight.
-bool requires_urgent_update(const ProxySnapshot& given, const ProxySnapshot& standing);
-
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/push_scheduler.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -1,53 +1,60 @@
 #include "routing_state/push_scheduler.h"
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
-#include <tuple>
-
-#include "routing_state/pull_delivery.h"
+#include <utility>
 
 namespace ospreypost::routing_state {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Nanos kPause = 50ms, kPauseMost = 1s;  // after a failure, doubling
-constexpr Nanos kPressPauseMost = 200ms;         // while a withdrawal is unconfirmed
-constexpr Nanos kTokenWait = 50ms;               // between looks for a token
+// The backoff after a failed push doubles from the minimum up to the maximum.
+constexpr Nanos kMinBackoff = 50ms;
+constexpr Nanos kMaxBackoff = 1s;
+constexpr Nanos kMaxUrgentBackoff = 200ms;
+constexpr Nanos kTokenCheckInterval = 50ms;
+/// A new process may send its first message to a proxy of unknown history within this part of the timeout.
+constexpr int kFirstMessageTimeoutDivisor = 3;
 
 Nanos nanos(double seconds) { return Nanos(std::llround(seconds * 1e9)); }
 
 }  // namespace
 
 PushScheduler::PushScheduler(const PushLimits& limits)
-    : limits_(limits), limit_(limits.max_messages_per_window, limits.window) {}
+    : limits_(limits), limiter_(limits.max_messages_per_window, limits.window) {}
 
-void PushScheduler::add_known(Nanos now, ProxyId proxy) {
-  auto& fresh = proxies_[proxy];
-  fresh.bucket = limit_.full(now);
-  fresh.not_before = now;
+void PushScheduler::add_known(Nanos now, ProxyId id) {
+  Proxy& proxy = proxies_[id];
+  proxy.bucket = limiter_.full_bucket(now);
+  proxy.not_before = now;
 }
 
-void PushScheduler::on_joined(Nanos now, ProxyId id, bool fresh) {
-  auto& proxy = proxies_.at(id);
-  wait(proxy, 0);
-  // Who has a table had messages of somebody: of this process before it gave up, of another, of its own past.
-  const auto bucket = fresh ? proxy.bucket : limit_.unknown(now, limits_.urgent_change_timeout / 3);
+void PushScheduler::on_joined(Nanos now, ProxyId id, bool has_no_table) {
+  Proxy& proxy = proxies_.at(id);
+  proxy.queue.clear(counts_);
+  // A proxy with a table was sent messages by somebody: by this process before it lost the proxy, by another
+  // one, or by an earlier incarnation.
+  const Nanos first_message_within = limits_.urgent_change_timeout / kFirstMessageTimeoutDivisor;
+  const TokenBucketLimiter::Bucket bucket =
+      has_no_table ? proxy.bucket : limiter_.bucket_of_unknown_history(now, first_message_within);
   proxy = Proxy{};
   proxy.joined = true;
-  proxy.fresh = fresh;
+  proxy.has_no_table = has_no_table;
   proxy.bucket = bucket;
-  proxy.spoke = proxy.not_before = now;
+  proxy.last_response = now;
+  proxy.not_before = now;
 }
 
 bool PushScheduler::on_liveness(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
-  const auto& proxy = proxies_.at(id);
-  const auto is = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
+  const Proxy& proxy = proxies_.at(id);
+  const auto holds = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
     return version ? proxy_snapshot && proxy_snapshot->changed_in == *version : !proxy_snapshot;
   };
-  // Before the first push it goes by what it came with, and is waited for like that.
-  const bool untouched = !proxy.given && !proxy.sent;
-  if (proxy.joined && (untouched || is(proxy.given) || is(proxy.sent))) {
+  // Until the first push, the proxy may hold whatever it came with.
+  const bool was_sent_nothing = !proxy.confirmed && !proxy.sent;
+  if (proxy.joined && (was_sent_nothing || holds(proxy.confirmed) || holds(proxy.sent))) {
     on_confirmed(now, id, {});
     return false;
   }
@@ -55,159 +62,205 @@
   return true;
 }
 
-void PushScheduler::wait(Proxy& proxy, double lines) {
-  counts_.queued_entries += lines - proxy.waiting;
-  proxy.waiting = lines;
-  counts_.max_queued_entries = std::max(counts_.max_queued_entries, counts_.queued_entries);
-}
-
-// A withdrawal presses from when it was ordered, until it is confirmed or taken back.
-void PushScheduler::press(Nanos now, Proxy& proxy) const {
-  const bool by_given = proxy.given ? requires_urgent_update(*proxy.given, *proxy.standing) : !proxy.fresh;
-  const bool by_sent = proxy.sent && requires_urgent_update(*proxy.sent, *proxy.standing);
-  const bool presses = by_given || by_sent || proxy.recall;
-  if (!presses) proxy.pressing_since.reset();
-  if (presses && !proxy.pressing_since) proxy.pressing_since = now;
+// A change is urgent from when it is made until it is confirmed or taken back.
+void PushScheduler::update_urgency(Nanos now, Proxy& proxy) {
+  const bool confirmed_is_unsafe =
+      proxy.confirmed ? requires_urgent_update(*proxy.confirmed, *proxy.latest) : !proxy.has_no_table;
+  const bool sent_is_unsafe = proxy.sent && requires_urgent_update(*proxy.sent, *proxy.latest);
+  if (!confirmed_is_unsafe && !sent_is_unsafe && !proxy.rollback_is_unsafe) {
+    proxy.urgent_since.reset();
+  } else if (!proxy.urgent_since) {
+    proxy.urgent_since = now;
+  }
 }
 
 void PushScheduler::on_rollback(Nanos now, ProxyId id, std::set<ReplicaId> rolled_back_to) {
-  auto& proxy = proxies_.at(id);
-  if (!proxy.joined || !proxy.standing) return;
-  // The proxy was shown other tables, by whomever.
-  if (!rolled_back_to.empty() && rolled_back_to != proxy.rolled_back_to)
-    TokenBucketLimiter::take(proxy.bucket);
+  Proxy& proxy = proxies_.at(id);
+  if (!proxy.joined || !proxy.latest) return;
+  // Whoever rolled it back has sent the proxy a message.
+  const bool is_new = !rolled_back_to.empty() && rolled_back_to != proxy.rolled_back_to;
+  if (is_new) TokenBucketLimiter::take(proxy.bucket);
   proxy.rolled_back_to = std::move(rolled_back_to);
-  note_recall(now, proxy);
+  check_rollback(now, proxy);
 }
 
-void PushScheduler::note_recall(Nanos now, Proxy& proxy) const {
-  proxy.recall = std::any_of(proxy.rolled_back_to.begin(), proxy.rolled_back_to.end(),
-                             [&](ReplicaId replica) { return out_.contains(replica); });
-  press(now, proxy);
+void PushScheduler::check_rollback(Nanos now, Proxy& proxy) const {
+  proxy.rollback_is_unsafe = std::any_of(proxy.rolled_back_to.begin(), proxy.rolled_back_to.end(),
+                                         [this](ReplicaId replica) { return ejected_.contains(replica); });
+  update_urgency(now, proxy);
 }
 
 void PushScheduler::on_ejected(Nanos now, std::set<ReplicaId> replicas) {
-  out_ = std::move(replicas);
+  ejected_ = std::move(replicas);
   for (auto& [id, proxy] : proxies_) {
-    if (!proxy.rolled_back_to.empty()) note_recall(now, proxy);
+    if (!proxy.rolled_back_to.empty()) check_rollback(now, proxy);
   }
 }
 
 void PushScheduler::on_published(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
-                                 std::size_t lines) {
+                                 std::size_t entries) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end() || !known->second.joined) return;
-  auto& proxy = known->second;
-  proxy.standing = std::move(proxy_snapshot);
-  wait(proxy, merged_queue_size(proxy.waiting, lines, *proxy.standing, limits_.message_overhead_entries));
-  const bool pressed = proxy.pressing_since.has_value();
-  press(now, proxy);
-  // A new withdrawal does not sit out the pause of an old failure.
-  if (proxy.pressing_since && !pressed) proxy.not_before = std::min(proxy.not_before, now);
+  Proxy& proxy = known->second;
+  proxy.latest = std::move(proxy_snapshot);
+  proxy.queue.add(entries, *proxy.latest, limits_.message_overhead_entries, counts_);
+  const bool was_urgent = proxy.urgent_since.has_value();
+  update_urgency(now, proxy);
+  // An urgent change does not wait for the backoff of an earlier failure.
+  const bool becomes_urgent = proxy.urgent_since && !was_urgent;
+  if (becomes_urgent) proxy.not_before = std::min(proxy.not_before, now);
+}
+
+bool PushScheduler::has_unconfirmed_change(const Proxy& proxy) {
+  if (!proxy.joined || !proxy.latest) return false;
+  return proxy.rollback_is_unsafe || proxy.confirmed != proxy.latest;
+}
+
+PushScheduler::Priority PushScheduler::priority_of(const Proxy& proxy) {
+  if (!has_unconfirmed_change(proxy)) return Priority::liveness_check;
+  if (!proxy.confirmed) return Priority::first_table;
+  return proxy.urgent_since ? Priority::urgent_change : Priority::normal_change;
+}
+
+// Whether a table push must wait for the channel or for a token.
+bool PushScheduler::must_wait(Nanos now, Proxy& proxy, Priority priority) const {
+  if (priority == Priority::liveness_check) return false;
+  if (priority != Priority::urgent_change && now < channel_free_at_) return true;
+  // What was sent before and may have arrived is not a new message.
+  const bool is_retry = proxy.sent == proxy.latest && !proxy.rollback_is_unsafe;
+  if (is_retry) return false;
+  return !limiter_.may_send(now, proxy.bucket, priority != Priority::normal_change);
+}
+
+// Empty if nothing may be sent to the proxy now.
+std::optional<PushScheduler::Rank> PushScheduler::rank_of(Nanos now, Proxy& proxy) const {
+  if (proxy.in_flight || now < proxy.not_before) return std::nullopt;
+  Priority priority = priority_of(proxy);
+  // The lease of the proxy's table runs out while a change waits, so it gets liveness checks like any other.
+  if (must_wait(now, proxy, priority)) priority = Priority::liveness_check;
+  const bool liveness_check_is_due = now >= proxy.last_response + limits_.liveness_interval;
+  if (priority == Priority::liveness_check && proxy.joined && !liveness_check_is_due) return std::nullopt;
+  return Rank{priority, proxy.urgent_since.value_or(proxy.last_response)};
+}
+
+bool PushScheduler::Rank::goes_before(const Rank& other) const {
+  if (priority != other.priority) return priority < other.priority;
+  return since < other.since;
 }
 
 std::optional<PendingPush> PushScheduler::take_push(Nanos now) {
-  // Withdrawals by age, then proxies that have nothing at all, then plain changes, then signs of life.
-  std::pair<const ProxyId, Proxy>* best = nullptr;
-  std::tuple<int, Nanos> best_rank;
-  for (auto& entry : proxies_) {
-    auto& proxy = entry.second;
-    if (proxy.under_way || now < proxy.not_before) continue;
-    const bool quiet = now >= proxy.spoke + limits_.liveness_interval;
-    int kind = !wants(proxy) ? 3 : !proxy.given ? 1 : proxy.pressing_since ? 0 : 2;
-    // What was sent before and may have arrived is no new message.
-    const bool again = proxy.sent == proxy.standing && !proxy.recall;
-    const bool waits = ((kind == 1 || kind == 2) && now < channel_free_) ||
-                       (kind < 3 && !again && !limit_.allows(now, proxy.bucket, kind < 2));
-    // Its lease runs while it waits, so it gets signs of life like any other.
-    if (waits) kind = 3;
-    if (kind == 3 && proxy.joined && !quiet) continue;
-    const std::tuple rank{kind, proxy.pressing_since.value_or(proxy.spoke)};
-    if (!best || rank < best_rank) best = &entry, best_rank = rank;
+  auto best = proxies_.end();
+  std::optional<Rank> best_rank;
+  for (auto each = proxies_.begin(); each != proxies_.end(); ++each) {
+    const std::optional<Rank> rank = rank_of(now, each->second);
+    if (!rank || (best_rank && !rank->goes_before(*best_rank))) continue;
+    best = each;
+    best_rank = rank;
   }
-  if (!best) return std::nullopt;
-  auto& proxy = best->second;
-  proxy.under_way = true;
-  if (std::get<0>(best_rank) == 3) return PendingPush{best->first, nullptr, false};
-  if (proxy.sent != proxy.standing || proxy.recall) {
+  if (!best_rank) return std::nullopt;
+  return start_push(now, best->first, best->second, best_rank->priority);
+}
+
+PendingPush PushScheduler::start_push(Nanos now, ProxyId id, Proxy& proxy, Priority priority) {
+  proxy.in_flight = true;
+  if (priority == Priority::liveness_check) return PendingPush{id, nullptr, false};
+  const bool is_new_message = proxy.sent != proxy.latest || proxy.rollback_is_unsafe;
+  if (is_new_message) {
     TokenBucketLimiter::take(proxy.bucket);
-    channel_free_ = std::max(channel_free_, now) + nanos(proxy.waiting / limits_.entries_per_second);
+    const Nanos time_in_channel = nanos(proxy.queue.entries() / limits_.entries_per_second);
+    channel_free_at_ = std::max(channel_free_at_, now) + time_in_channel;
   }
-  proxy.sent = proxy.standing;
+  proxy.sent = proxy.latest;
   ++counts_.pushes;
-  return PendingPush{best->first, proxy.sent, !proxy.rolled_back_to.empty()};
+  return PendingPush{id, proxy.sent, !proxy.rolled_back_to.empty()};
 }
 
 std::optional<Nanos> PushScheduler::next_wake_up(Nanos now) const {
   std::optional<Nanos> first;
   for (const auto& [id, proxy] : proxies_) {
-    if (proxy.under_way) continue;
-    Nanos at = proxy.not_before;
-    if (proxy.joined && !wants(proxy)) at = std::max(at, proxy.spoke + limits_.liveness_interval);
-    const bool urgent = proxy.given && proxy.pressing_since;
-    if (wants(proxy) && !urgent) at = std::max(at, channel_free_);
-    // Nothing else holds it up, so a token does.
-    if (at <= now) at = now + kTokenWait;
-    first = first ? std::min(*first, at) : at;
+    if (proxy.in_flight) continue;
+    const Nanos wake_up = wake_up_of(now, proxy);
+    first = first ? std::min(*first, wake_up) : wake_up;
   }
   return first;
 }
 
-void PushScheduler::on_confirmed(Nanos now, ProxyId id, SnapshotVersion since) {
+Nanos PushScheduler::wake_up_of(Nanos now, const Proxy& proxy) const {
+  Nanos wake_up = proxy.not_before;
+  const bool has_change = has_unconfirmed_change(proxy);
+  const bool is_urgent = proxy.confirmed && proxy.urgent_since;
+  if (proxy.joined && !has_change) {
+    wake_up = std::max(wake_up, proxy.last_response + limits_.liveness_interval);
+  }
+  if (has_change && !is_urgent) wake_up = std::max(wake_up, channel_free_at_);
+  // If nothing else holds it up, it waits for a token.
+  return wake_up <= now ? now + kTokenCheckInterval : wake_up;
+}
+
+void PushScheduler::on_confirmed(Nanos now, ProxyId id, SnapshotVersion version) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
-  auto& proxy = known->second;
-  proxy.under_way = false;
-  proxy.spoke = now;
-  proxy.pause = Nanos{};
+  Proxy& proxy = known->second;
+  proxy.in_flight = false;
+  proxy.last_response = now;
+  proxy.backoff = Nanos{};
   proxy.not_before = now;
-  // A confirmation of something older, late or twice, tells that it lives and no more.
-  if (!proxy.sent || proxy.sent->changed_in != since) return;
-  proxy.given = proxy.sent;
+  // A late or repeated confirmation of an older push shows that the proxy is alive, and no more.
+  if (!proxy.sent || proxy.sent->changed_in != version) return;
+  proxy.confirmed = proxy.sent;
   proxy.rolled_back_to.clear();
-  proxy.recall = false;
-  if (proxy.given == proxy.standing) wait(proxy, 0);
-  press(now, proxy);
+  proxy.rollback_is_unsafe = false;
+  if (proxy.confirmed == proxy.latest) proxy.queue.clear(counts_);
+  update_urgency(now, proxy);
 }
 
 void PushScheduler::on_failed(Nanos now, ProxyId id) {
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
-  auto& proxy = known->second;
-  proxy.under_way = false;
+  Proxy& proxy = known->second;
+  proxy.in_flight = false;
   ++counts_.failures;
-  proxy.pause = std::clamp(2 * proxy.pause, kPause, proxy.pressing_since ? kPressPauseMost : kPauseMost);
-  proxy.not_before = now + proxy.pause;
+  const Nanos max_backoff = proxy.urgent_since ? kMaxUrgentBackoff : kMaxBackoff;
+  proxy.backoff = std::clamp(2 * proxy.backoff, kMinBackoff, max_backoff);
+  proxy.not_before = now + proxy.backoff;
 }
 
 std::vector<ProxyId> PushScheduler::take_lost(Nanos now) {
-  std::vector<ProxyId> given_up;
+  std::vector<ProxyId> lost;
   for (auto& [id, proxy] : proxies_) {
-    const bool unheld = proxy.pressing_since && now >= *proxy.pressing_since + limits_.urgent_change_timeout;
-    // Long silence is no withdrawal, but one could not be brought to it either.
-    const bool silent = now >= proxy.spoke + limits_.urgent_change_timeout + 2 * limits_.liveness_interval;
-    if (!proxy.joined || !(unheld || silent)) continue;
-    given_up.push_back(id);
-    give_up(proxy);
+    if (!is_lost(now, proxy)) continue;
+    lost.push_back(id);
+    remove(proxy);
   }
-  return given_up;
+  return lost;
+}
+
+bool PushScheduler::is_lost(Nanos now, const Proxy& proxy) const {
+  if (!proxy.joined) return false;
+  const Nanos timeout = limits_.urgent_change_timeout;
+  const bool is_overdue = proxy.urgent_since && now >= *proxy.urgent_since + timeout;
+  // A silent proxy is lost even while no change is urgent, as none could be brought to it in time.
+  const bool is_silent = now >= proxy.last_response + timeout + 2 * limits_.liveness_interval;
+  return is_overdue || is_silent;
 }
 
-void PushScheduler::give_up(Proxy& proxy) {
-  wait(proxy, 0);
+void PushScheduler::remove(Proxy& proxy) {
+  proxy.queue.clear(counts_);
   proxy.joined = false;
-  proxy.given = proxy.sent = proxy.standing = nullptr;
+  proxy.confirmed = nullptr;
+  proxy.sent = nullptr;
+  proxy.latest = nullptr;
   proxy.rolled_back_to.clear();
-  proxy.recall = false;
-  proxy.pressing_since.reset();
+  proxy.rollback_is_unsafe = false;
+  proxy.urgent_since.reset();
 }
 
 void PushScheduler::on_rejected(Nanos now, ProxyId id) {
   on_failed(now, id);
   const auto known = proxies_.find(id);
   if (known == proxies_.end()) return;
-  give_up(known->second);
-  known->second.not_before = now + kPauseMost;
+  remove(known->second);
+  known->second.not_before = now + kMaxBackoff;
 }
 
 bool PushScheduler::is_joined(ProxyId id) const {
--- a/src/routing_state/routing_state.cpp
+++ b/src/routing_state/routing_state.cpp
@@ -4,143 +4,177 @@
 
 namespace ospreypost::routing_state {
 
-RoutingState::RoutingState(std::size_t classes) : classes_(classes), terms_(classes) {}
+RoutingState::RoutingState(std::size_t class_count)
+    : class_count_(class_count), default_traffic_policies_(class_count) {}
 
 void RoutingState::set_table_entry(TableId id, ReplicaId replica, double weight) {
-  auto& table = tables_[id];
-  weight > 0 ? void(table.lines[replica] = weight) : void(table.lines.erase(replica));
-  ++table.ordered;
-  touched_.insert(id);
+  Table& table = tables_[id];
+  if (weight > 0) {
+    table.weights[replica] = weight;
+  } else {
+    table.weights.erase(replica);
+  }
+  mark_changed(id, table);
 }
 
 void RoutingState::clear_table(TableId id) {
-  auto& table = tables_[id];
-  table.lines.clear();
-  table.terms.clear();
-  ++table.ordered;
-  touched_.insert(id);
+  Table& table = tables_[id];
+  table.weights.clear();
+  table.traffic_policies.clear();
+  mark_changed(id, table);
+}
+
+void RoutingState::mark_changed(TableId id, Table& table) {
+  ++table.changed_entries;
+  changed_tables_.insert(id);
 }
 
 void RoutingState::bind(ProxyId id, TableId table, ClassMask classes) {
   const auto proxy = proxies_.find(id);
-  if (proxy == proxies_.end()) return;  // it left in between
-  // A table that nobody has written yet is empty, but under the levels that hold for all.
-  if (tables_.try_emplace(table).second) touched_.insert(table);
-  for (const auto k : named(classes)) proxy->second.tables[k] = table;
-  rebound_.insert(id);
+  if (proxy == proxies_.end()) return;
+  // A table without any entry yet is still subject to the traffic policies of every table.
+  const bool is_new = tables_.try_emplace(table).second;
+  if (is_new) changed_tables_.insert(table);
+  for (const std::size_t cls : classes_in(classes)) proxy->second.tables[cls] = table;
+  rebound_proxies_.insert(id);
 }
 
-void RoutingState::set_ejected(ReplicaId replica, bool out) {
-  const bool changes = out ? withdrawn_.insert(replica).second : withdrawn_.erase(replica) > 0;
+void RoutingState::set_ejected(ReplicaId replica, bool ejected) {
+  const bool changes = ejected ? ejected_.insert(replica).second : ejected_.erase(replica) > 0;
   if (!changes) return;
   for (auto& [id, table] : tables_) {
-    if (!table.lines.contains(replica)) continue;
-    ++table.ordered;
-    touched_.insert(id);
+    if (table.weights.contains(replica)) mark_changed(id, table);
   }
 }
 
-void RoutingState::set_admitted_fraction(TableId id, ClassMask classes, double level, RetryMode retry) {
-  const auto touch = [&](TableId of, Table& table) {
-    ++table.ordered;
-    touched_.insert(of);
-  };
-  const TrafficPolicy terms{std::clamp(level, 0.0, 1.0), retry};
-  for (const auto k : named(classes)) {
-    if (id != kAllTables) {
-      tables_[id].terms[k] = terms;
-      touch(id, tables_[id]);
-      continue;
+void RoutingState::set_admitted_fraction(TableId id, ClassMask classes, double fraction, RetryMode retry) {
+  const TrafficPolicy policy{std::clamp(fraction, 0.0, 1.0), retry};
+  for (const std::size_t cls : classes_in(classes)) {
+    if (id == kAllTables) {
+      default_traffic_policies_[cls] = policy;
+      for (auto& [each, table] : tables_) mark_changed(each, table);
+    } else {
+      Table& table = tables_[id];
+      table.traffic_policies[cls] = policy;
+      mark_changed(id, table);
     }
-    terms_[k] = terms;
-    for (auto& [of, table] : tables_) touch(of, table);
   }
 }
 
-void RoutingState::add_proxy(ProxyId proxy) {
-  proxies_[proxy] = Proxy{std::vector<std::optional<TableId>>(classes_), nullptr};
-  members_changed_ = true;
+void RoutingState::add_proxy(ProxyId id) {
+  proxies_[id] = Proxy{std::vector<std::optional<TableId>>(class_count_), nullptr};
+  proxies_changed_ = true;
 }
 
-void RoutingState::remove_proxy(ProxyId proxy) {
-  members_changed_ = proxies_.erase(proxy) > 0 || members_changed_;
-  rebound_.erase(proxy);
+void RoutingState::remove_proxy(ProxyId id) {
+  const bool was_there = proxies_.erase(id) > 0;
+  proxies_changed_ = proxies_changed_ || was_there;
+  rebound_proxies_.erase(id);
 }
 
-std::vector<std::size_t> RoutingState::named(ClassMask classes) const {
+std::vector<std::size_t> RoutingState::classes_in(ClassMask classes) const {
   std::vector<std::size_t> found;
-  for (std::size_t k = 0; k < classes_; ++k) {
-    if (classes == 0 || (classes >> k & 1u)) found.push_back(k);
+  for (std::size_t cls = 0; cls < class_count_; ++cls) {
+    const bool is_named = (classes >> cls & 1U) != 0;
+    if (classes == 0 || is_named) found.push_back(cls);
   }
   return found;
 }
 
-RoutingTable RoutingState::view_of(const Table& table) const {
-  RoutingTable view{{}, terms_};
-  view.entries.reserve(table.lines.size());
-  for (const auto& [replica, weight] : table.lines) {
-    if (!withdrawn_.contains(replica)) view.entries.push_back({replica, weight});
+RoutingTable RoutingState::usable_table(const Table& table) const {
+  RoutingTable usable;
+  usable.traffic_policies = default_traffic_policies_;
+  usable.entries.reserve(table.weights.size());
+  for (const auto& [replica, weight] : table.weights) {
+    if (!ejected_.contains(replica)) usable.entries.push_back({replica, weight});
   }
-  // Where both are set the lower level holds, and the table's own way to try again.
-  for (const auto& [k, own] : table.terms)
-    view.traffic_policies[k] = {std::min(own.admitted_fraction, view.traffic_policies[k].admitted_fraction),
-                                own.retry};
-  return view;
+  // Where both are set, the lower admitted fraction holds, and the table's own retry mode.
+  for (const auto& [cls, own] : table.traffic_policies) {
+    TrafficPolicy& policy = usable.traffic_policies[cls];
+    policy = {std::min(own.admitted_fraction, policy.admitted_fraction), own.retry};
+  }
+  return usable;
 }
 
-bool RoutingState::renew(Table& table) const {
-  auto view = view_of(table);
-  if (view == *table.view) return false;
-  table.view = std::make_shared<const RoutingTable>(std::move(view));
+// True if what proxies may use of the table differs from what is published.
+bool RoutingState::rebuild(Table& table) const {
+  RoutingTable usable = usable_table(table);
+  if (usable == *table.published) return false;
+  table.published = std::make_shared<const RoutingTable>(std::move(usable));
   return true;
 }
 
-std::optional<RoutingState::Publication> RoutingState::publish(Nanos now) {
-  std::set<TableId> renewed;
-  for (const auto id : touched_) {
-    if (renew(tables_.at(id))) renewed.insert(id);
+std::set<TableId> RoutingState::rebuild_changed_tables() {
+  std::set<TableId> rebuilt;
+  for (const TableId id : changed_tables_) {
+    if (rebuild(tables_.at(id))) rebuilt.insert(id);
   }
-  if (renewed.empty() && rebound_.empty() && !members_changed_) {
-    for (const auto id : touched_) tables_.at(id).ordered = 0;
-    touched_.clear();
-    return std::nullopt;
+  return rebuilt;
+}
+
+std::optional<RoutingState::Publication> RoutingState::publish(Nanos now) {
+  const std::set<TableId> rebuilt = rebuild_changed_tables();
+  std::optional<Publication> publication;
+  if (!rebuilt.empty() || !rebound_proxies_.empty() || proxies_changed_) {
+    publication = make_publication(now, rebuilt);
   }
+  forget_changes();
+  return publication;
+}
 
-  last_ = SnapshotVersion{static_cast<std::uint64_t>(last_) + 1};
-  auto version = std::make_shared<RoutingSnapshot>();
-  version->version = last_;
-  version->created = now;
-  version->proxy_snapshots.reserve(proxies_.size());
-  Publication published;
+RoutingState::Publication RoutingState::make_publication(Nanos now, const std::set<TableId>& rebuilt) {
+  last_version_ = SnapshotVersion{static_cast<std::uint64_t>(last_version_) + 1};
+  const auto snapshot = std::make_shared<RoutingSnapshot>();
+  snapshot->version = last_version_;
+  snapshot->created = now;
+  snapshot->proxy_snapshots.reserve(proxies_.size());
+  Publication publication;
   for (auto& [id, proxy] : proxies_) {
-    std::set<TableId> own;
-    for (const auto& table : proxy.tables) {
-      if (table) own.insert(*table);
-    }
-    const bool bound_anew = rebound_.contains(id);
-    std::size_t lines = 0;
-    for (const auto table : own) {
-      // A binding brings the whole table, else only what was ordered travels.
-      if (bound_anew) lines += 1 + tables_.at(table).lines.size();
-      if (!bound_anew && renewed.contains(table)) lines += tables_.at(table).ordered;
+    const std::size_t entries = changed_entries_of(id, proxy, rebuilt);
+    if (entries > 0) {
+      proxy.snapshot = make_proxy_snapshot(proxy);
+      publication.changes.push_back({id, entries});
     }
-    if (lines > 0) {
-      auto proxy_snapshot = std::make_shared<ProxySnapshot>();
-      proxy_snapshot->changed_in = last_;
-      for (const auto& table : proxy.tables) {
-        proxy_snapshot->routing_tables.push_back(table ? tables_.at(*table).view : nullptr);
-      }
-      proxy.proxy_snapshot = std::move(proxy_snapshot);
-      published.changes.push_back({id, lines});
+    if (proxy.snapshot) snapshot->proxy_snapshots.push_back({id, proxy.snapshot});
+  }
+  publication.snapshot = snapshot;
+  return publication;
+}
+
+std::size_t RoutingState::changed_entries_of(ProxyId id, const Proxy& proxy,
+                                             const std::set<TableId>& rebuilt) const {
+  std::set<TableId> bound;
+  for (const auto& table : proxy.tables) {
+    if (table) bound.insert(*table);
+  }
+  const bool is_rebound = rebound_proxies_.contains(id);
+  std::size_t entries = 0;
+  for (const TableId table_id : bound) {
+    const Table& table = tables_.at(table_id);
+    // A binding brings the complete table; else only the changes are sent.
+    if (is_rebound) {
+      entries += 1 + table.weights.size();
+    } else if (rebuilt.contains(table_id)) {
+      entries += table.changed_entries;
     }
-    if (proxy.proxy_snapshot) version->proxy_snapshots.emplace_back(id, proxy.proxy_snapshot);
   }
-  for (const auto id : touched_) tables_.at(id).ordered = 0;
-  touched_.clear();
-  rebound_.clear();
-  members_changed_ = false;
-  published.snapshot = std::move(version);
-  return published;
+  return entries;
+}
+
+std::shared_ptr<const ProxySnapshot> RoutingState::make_proxy_snapshot(const Proxy& proxy) const {
+  auto snapshot = std::make_shared<ProxySnapshot>();
+  snapshot->changed_in = last_version_;
+  for (const auto& table : proxy.tables) {
+    snapshot->routing_tables.push_back(table ? tables_.at(*table).published : nullptr);
+  }
+  return snapshot;
+}
+
+void RoutingState::forget_changes() {
+  for (const TableId id : changed_tables_) tables_.at(id).changed_entries = 0;
+  changed_tables_.clear();
+  rebound_proxies_.clear();
+  proxies_changed_ = false;
 }
 
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/token_bucket_limiter.h
+++ b/src/routing_state/token_bucket_limiter.h
@@ -1,49 +1,41 @@
-// The messages that may go to one proxy, so that no window ever holds more than allowed. Pure.
+/// Limits the messages to one proxy, so that no time window ever holds more than allowed. Free of I/O.
 #pragma once
 
-#include <algorithm>
-#include <chrono>
+#include <cstddef>
 
 #include "policy/controller.h"
 
 namespace ospreypost::routing_state {
 
-// The limit as a bucket: so deep, and so many tokens a second. With a depth of B and a pace of (allowed - B)
-// a window, no window holds more than allowed.
+/// The limit as a token bucket. With a depth of d tokens and a refill rate of (allowed - d) a window, no
+/// window holds more messages than allowed. Immutable; the state of each proxy is a `Bucket`.
 class TokenBucketLimiter {
  public:
-  // `allowed` 0: no limit.
-  TokenBucketLimiter(std::size_t allowed, Nanos window)
-      : limited_(allowed > 0),
-        depth_(std::clamp(static_cast<double>(allowed) - 1, 1.0, kDepth)),
-        per_second_(std::max(0.0, static_cast<double>(allowed) - depth_) /
-                    std::max(1e-3, std::chrono::duration<double>(window).count())) {}
+  /// `max_messages` within any `window`; 0: no limit.
+  TokenBucketLimiter(std::size_t max_messages, Nanos window);
 
+  /// The tokens of one proxy.
   struct Bucket {
     double tokens = 0;
-    Nanos counted{};
+    Nanos refilled_at{};
   };
-  Bucket full(Nanos now) const { return {depth_, now}; }
-  // Where nobody knows how many messages there were within the window: none until so long has passed, and
-  // then one, so that however many unknowing processes follow each other, no window holds more than allowed.
-  // Where tokens come too slowly for that, the first is granted.
-  Bucket unknown(Nanos now, Nanos one_within) const {
-    const double earned = std::chrono::duration<double>(one_within).count() * per_second_;
-    return {std::max(0.0, 1 - earned), now};
-  }
-  // A plain change waits for a full bucket, so that a withdrawal finds tokens left.
-  bool allows(Nanos now, Bucket& bucket, bool urgent) const {
-    const double passed = std::chrono::duration<double>(now - bucket.counted).count();
-    bucket.tokens = std::min(depth_, bucket.tokens + passed * per_second_);
-    bucket.counted = now;
-    return !limited_ || bucket.tokens >= (urgent ? 1 : depth_);
-  }
+
+  /// For a proxy that was sent nothing within the window.
+  Bucket full_bucket(Nanos now) const;
+  /// For a proxy of which nobody knows how many messages it was sent within the window. It starts empty, so
+  /// that no window holds more than allowed however many processes without that knowledge follow each other;
+  /// or, where tokens come too slowly, with what lacks to one token after `first_message_within`.
+  Bucket bucket_of_unknown_history(Nanos now, Nanos first_message_within) const;
+  /// Whether a message may be sent now. A normal message waits for a full bucket, so that an urgent one finds
+  /// tokens left. Refills the bucket up to `now`.
+  bool may_send(Nanos now, Bucket& bucket, bool is_urgent) const;
+  /// Accounts for a message.
   static void take(Bucket& bucket) { bucket.tokens -= 1; }
 
  private:
-  static constexpr double kDepth = 3;
-  const bool limited_;
-  const double depth_, per_second_;
+  const bool is_limited_;
+  const double depth_;
+  const double tokens_per_second_;
 };
 
 }  // namespace ospreypost::routing_state
