--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -12,7 +12,8 @@
 
 #include "config/config.h"
 #include "control_plane/controller_driver.h"
-#include "delivery/delivery_service.h"
+#include "delivery/pull_service.h"
+#include "delivery/push_service.h"
 #include "discovery/endpoint_list.h"
 #include "discovery/name_table.h"
 #include "dns/client_ttl_policy.h"
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "delivery/delivery_service.h"
+#include "delivery/pull_service.h"
 #include "dns/message.h"
 #include "dns/name_index.h"
 
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -20,7 +20,7 @@
   char level[32];
   std::snprintf(level, sizeof(level), "level=%.4f", terms.admitted_fraction);
   Txt txt{{"txtvers=1", "version=" + std::to_string(static_cast<std::uint64_t>(proxy_snapshot.changed_in)),
-           level, std::string("retry=") + delivery::name_of(terms.retry)}};
+           level, std::string("retry=") + routing_state::name_of(terms.retry)}};
   return {question.asked, lifetime, std::move(txt)};
 }
 
--- a/src/dns/responder.h
+++ b/src/dns/responder.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config/config.h"
-#include "delivery/delivery_service.h"
+#include "delivery/pull_service.h"
 #include "dns/answer_cache.h"
 #include "dns/message.h"
 #include "dns/name_index.h"
--- a/src/files/pusher.cpp
+++ b/src/files/pusher.cpp
@@ -33,7 +33,7 @@
     const auto& view = push.proxy_snapshot->routing_tables[k];
     if (!view) continue;
     const Terms terms{generation.stamp.version, view->traffic_policies[k].admitted_fraction,
-                      delivery::name_of(view->traffic_policies[k].retry)};
+                      routing_state::name_of(view->traffic_policies[k].retry)};
     std::vector<Endpoint> endpoints;
     for (const auto& line : view->entries) {
       const auto& place = push.directory->endpoint(line.replica);
--- a/src/files/pusher.h
+++ b/src/files/pusher.h
@@ -7,7 +7,7 @@
 #include <mutex>
 
 #include "config/config.h"
-#include "delivery/delivery_service.h"
+#include "delivery/push_service.h"
 #include "files/receiver.h"
 #include "files/render.h"
 
