--- a/src/dns/client_ttl_policy.cpp
+++ b/src/dns/client_ttl_policy.cpp
@@ -8,108 +8,135 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kShown = 3;                // answers in a row, before an unknown client gets replicas
-constexpr Nanos kMemoryHalfLife = 5min;  // of how late a client asked
-// Of clocks, threads and a busy client, that is no sign of a cache.
-constexpr Nanos kSlack = 50ms;
-constexpr double kUnfaded = 0.975;  // at least, of that memory after the longest lifetime
+constexpr Ttl kMinTtl{1};
+constexpr Nanos kMinSilenceTimeout = 1s;
+/// Answers in a row that an untrusted client has to query again in time before it gets replicas.
+constexpr int kRequiredPunctualAnswers = 3;
+/// An answer counts as punctual if its time of use exceeds its TTL by at most this part of the maximum time
+/// of use.
+constexpr int kPunctualityDivisor = 4;
+constexpr Nanos kLatenessHalfLife = 5min;
+/// Lateness that clocks, threads and a busy client explain, without a cache.
+constexpr Nanos kToleratedLateness = 50ms;
+/// The part of the memory of a lateness that is left after the longest TTL, at least.
+constexpr double kMinMemoryLeft = 0.975;
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
 Nanos nanos(double seconds) { return Nanos(static_cast<Nanos::rep>(seconds * 1e9)); }
 
-// How long an answer may be held. What is forgiven, and what fades between two questions, has to fit within
+// How long an answer may be used. What is tolerated, and what decays between two queries, has to fit within
 // the grace as well.
-Nanos hold_most(const ClientTtlLimits& limits) {
-  return nanos(seconds(limits.drain_grace - limits.endpoint_list_lag - limits.answer_delay - kSlack) *
-               kUnfaded);
+Nanos max_time_of_use(const ClientTtlLimits& limits) {
+  const Nanos remaining_grace =
+      limits.drain_grace - limits.endpoint_list_lag - limits.answer_delay - kToleratedLateness;
+  return nanos(seconds(remaining_grace) * kMinMemoryLeft);
 }
 
 }  // namespace
 
-bool grace_permits_min_ttl(const ClientTtlLimits& limits) { return hold_most(limits) >= Ttl{1}; }
+bool grace_permits_min_ttl(const ClientTtlLimits& limits) { return max_time_of_use(limits) >= kMinTtl; }
 
 ClientTtlPolicy::ClientTtlPolicy(const ClientTtlLimits& limits)
-    : hold_most_(hold_most(limits)),
-      silence_(std::max<Nanos>(limits.silence_timeout, 1s)),
-      longest_(std::max(limits.max_ttl, Ttl{1})) {}
+    : max_time_of_use_(max_time_of_use(limits)),
+      silence_timeout_(std::max(limits.silence_timeout, kMinSilenceTimeout)),
+      max_ttl_(std::max(limits.max_ttl, kMinTtl)) {}
 
-void ClientTtlPolicy::add_known(ProxyId client, bool vouched) { clients_[client].vouched = vouched; }
+void ClientTtlPolicy::add_known(ProxyId id, bool trusted) { clients_[id].trusted = trusted; }
 
-void ClientTtlPolicy::fade(Nanos now, Client& client) const {
-  const double kept = std::exp2(-seconds(now - client.faded) / seconds(kMemoryHalfLife));
-  client.stretch = 1 + (client.stretch - 1) * kept;
-  client.late = nanos(seconds(client.late) * kept);
-  client.faded = now;
+void ClientTtlPolicy::decay_memory(Nanos now, Client& client) {
+  const double left = std::exp2(-seconds(now - client.decayed_at) / seconds(kLatenessHalfLife));
+  client.ttl_multiple = 1 + (client.ttl_multiple - 1) * left;
+  client.max_lateness = nanos(seconds(client.max_lateness) * left);
+  client.decayed_at = now;
 }
 
-// A cache that multiplies lifetimes and one that adds to them both show in one answer; which one it was, only
-// the next lifetime would tell. The worse of the two counts.
-Nanos ClientTtlPolicy::held_for(const Client& client, Ttl lifetime) const {
-  return std::max(nanos(seconds(lifetime) * client.stretch), Nanos(lifetime) + client.late);
+// A cache that multiplies TTLs and one that adds to them look the same in one answer; only the next TTL would
+// tell them apart. The worse of the two counts.
+Nanos ClientTtlPolicy::expected_time_of_use(const Client& client, Ttl ttl) {
+  return std::max(nanos(seconds(ttl) * client.ttl_multiple), Nanos(ttl) + client.max_lateness);
 }
 
-Ttl ClientTtlPolicy::longest_for(const Client& client) const {
-  auto lifetime = longest_;
-  while (lifetime > Ttl{1} && held_for(client, lifetime) > hold_most_) lifetime -= Ttl{1};
-  return held_for(client, lifetime) <= hold_most_ ? lifetime : Ttl{};
+// Empty if the client is expected to use even an answer of the lowest TTL for too long.
+std::optional<Ttl> ClientTtlPolicy::max_ttl_for(const Client& client) const {
+  for (Ttl ttl = max_ttl_; ttl >= kMinTtl; ttl -= Ttl{1}) {
+    if (expected_time_of_use(client, ttl) <= max_time_of_use_) return ttl;
+  }
+  return std::nullopt;
+}
+
+// Learns from an answer that was in use until the client queried again.
+void ClientTtlPolicy::note_time_of_use(Client& client, const Answer& answer, Nanos time_of_use) const {
+  const Nanos lateness = time_of_use - Nanos(answer.ttl) - kToleratedLateness;
+  client.max_lateness = std::max(client.max_lateness, lateness);
+  const double ttl_multiple = seconds(time_of_use - kToleratedLateness) / seconds(answer.ttl);
+  client.ttl_multiple = std::max(client.ttl_multiple, ttl_multiple);
+  if (lateness <= max_time_of_use_ / kPunctualityDivisor) {
+    client.punctual_answers = std::min(client.punctual_answers + 1, kRequiredPunctualAnswers);
+  } else {
+    client.punctual_answers = 0;
+  }
+  if (client.punctual_answers == kRequiredPunctualAnswers) client.trust_suspended = false;
 }
 
-// What an answer that has ended tells, by how long the client went on without asking again.
-void ClientTtlPolicy::judge(Client& client, const Answer& last, Nanos held) const {
-  const Nanos late = held - Nanos(last.given) - kSlack;
-  client.late = std::max(client.late, late);
-  client.stretch = std::max(client.stretch, seconds(held - kSlack) / seconds(last.given));
-  client.shown = late <= hold_most_ / 4 ? std::min(client.shown + 1, kShown) : 0;
-  if (client.shown == kShown) client.doubted = false;
+bool ClientTtlPolicy::is_proven(const Client& client) {
+  if (client.punctual_answers == kRequiredPunctualAnswers) return true;
+  return client.trusted && !client.trust_suspended;
 }
 
 TtlDecision ClientTtlPolicy::on_query(Nanos now, ProxyId id, ClassId cls) {
   const auto known = clients_.find(id);
   if (known == clients_.end()) return {};
-  auto& client = known->second;
-  now = std::max(now, client.heard);
-  fade(now, client);
-  client.heard = now;
-  const auto last = client.answers.find(cls);
-  // A question before the lifetime ended says nothing: another reader of the same answer, or a repeat.
-  const bool over = last != client.answers.end() && now >= last->second.at + Nanos(last->second.given);
-  if (over) judge(client, last->second, now - last->second.at);
-
-  const auto lifetime = longest_for(client);
-  const bool shown = client.shown == kShown || (client.vouched && !client.doubted);
-  const bool trusted = lifetime > Ttl{} && shown;
-  TtlDecision ttl_decision;
-  ttl_decision.service = trusted ? ClientService::replicas : ClientService::proxies;
-  // While it has still to show itself, only short answers tell anything soon.
-  ttl_decision.ttl = trusted ? lifetime : Ttl{1};
-  ttl_decision.client_joined = trusted && !client.joined;
-  ttl_decision.client_left = !trusted && client.joined;
-  client.joined = trusted;
-  if (over || last == client.answers.end()) client.answers[cls] = {now, ttl_decision.ttl};
-  return ttl_decision;
+  Client& client = known->second;
+  // A clock that went back must not make an answer look young.
+  const Nanos query_time = std::max(now, client.last_seen);
+  decay_memory(query_time, client);
+  client.last_seen = query_time;
+
+  const auto last = client.last_answers.find(cls);
+  const bool is_first = last == client.last_answers.end();
+  // A query before the TTL ended shows nothing: it may be another reader of the same answer, or a retry.
+  const bool is_over = !is_first && query_time >= last->second.sent_at + Nanos(last->second.ttl);
+  if (is_over) note_time_of_use(client, last->second, query_time - last->second.sent_at);
+
+  const std::optional<Ttl> max_ttl = max_ttl_for(client);
+  const bool gets_replicas = max_ttl && is_proven(client);
+  TtlDecision decision;
+  decision.service = gets_replicas ? ClientService::replicas : ClientService::proxies;
+  // While a client has to prove itself, only short answers show anything soon.
+  decision.ttl = gets_replicas ? *max_ttl : kMinTtl;
+  decision.client_joined = gets_replicas && !client.joined;
+  decision.client_left = !gets_replicas && client.joined;
+  client.joined = gets_replicas;
+  if (is_over || is_first) client.last_answers[cls] = {query_time, decision.ttl};
+  return decision;
 }
 
 void ClientTtlPolicy::on_report(Nanos now, ProxyId id) {
   const auto known = clients_.find(id);
-  if (known != clients_.end()) known->second.heard = std::max(now, known->second.heard);
+  if (known != clients_.end()) known->second.last_seen = std::max(now, known->second.last_seen);
+}
+
+// When the client has left, unless it is seen again before.
+Nanos ClientTtlPolicy::silent_at(const Client& client) const {
+  Nanos time = client.last_seen + silence_timeout_;
+  // It could use its last answers beyond the timeout.
+  for (const auto& [cls, answer] : client.last_answers) {
+    time = std::max(time, answer.sent_at + expected_time_of_use(client, answer.ttl));
+  }
+  return time;
 }
 
-// Guards against a cache that holds on for longer than the silence: whoever returns from one, vouched for or
-// not, shows itself again. A client that was away pays with a few seconds.
+// A cache may hold an answer for longer than the silence timeout. So a client that returns from a silence,
+// trusted or not, has to prove itself again, which takes a few seconds.
 std::vector<ProxyId> ClientTtlPolicy::take_silent(Nanos now) {
   std::vector<ProxyId> left;
   for (auto& [id, client] : clients_) {
-    if (client.answers.empty()) continue;
-    Nanos until = client.heard + silence_;
-    // What it was given must be over as well, or it could go on by it.
-    for (const auto& [cls, answer] : client.answers)
-      until = std::max(until, answer.at + held_for(client, answer.given));
-    if (now < until) continue;
+    if (client.last_answers.empty() || now < silent_at(client)) continue;
     if (client.joined) left.push_back(id);
     client.joined = false;
-    client.doubted = true;
-    client.shown = 0;
-    client.answers.clear();
+    client.trust_suspended = true;
+    client.punctual_answers = 0;
+    client.last_answers.clear();
   }
   return left;
 }
