--- /dev/null
+++ b/tests/program/lease_table_test.cpp
@@ -0,0 +1,126 @@
+/// Which of several processes pushes to a proxy, on generated starts, ends and clocks.
+#include "routing_state/lease_table.h"
+
+#include <gtest/gtest.h>
+#include <rapidcheck.h>
+#include <rapidcheck/gtest.h>
+
+#include <array>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+
+namespace ospreypost::routing_state {
+namespace {
+
+constexpr ProxyId kProxy{3};
+constexpr int kLeaseSteps = 5;
+
+/// Stores one proxy's table as its receiver does, as plainly as possible.
+struct PlainReceiver {
+  RemoteState stored;
+  int silent_steps = 0;  // since the owner sent something
+
+  bool is_stored_by(const LeaseTable& leases) const {
+    return stored.has_table && stored.owner == leases.owner() && stored.epoch == leases.epoch(kProxy);
+  }
+
+  RemoteState check_liveness(const LeaseTable& leases) {
+    if (is_stored_by(leases)) silent_steps = 0;
+    RemoteState state = stored;
+    state.lease_expired = stored.has_table && silent_steps > kLeaseSteps;
+    return state;
+  }
+
+  bool store(const LeaseTable& leases, std::uint64_t version) {
+    const std::uint64_t epoch = leases.epoch(kProxy);
+    const bool is_older = epoch < stored.epoch;
+    const bool is_of_another = epoch == stored.epoch && leases.owner() != stored.owner;
+    if (stored.has_table && (is_older || is_of_another)) return false;
+    stored = {true, epoch, SnapshotVersion{version}, leases.owner(), false, {}};
+    silent_steps = 0;
+    return true;
+  }
+};
+
+/// Two processes at a time and the receiver of one proxy, with the checks of each step.
+class CompetingProcesses {
+ public:
+  void restart_one() { random_process() = start(); }
+
+  /// A process checks the proxy; if it claims it, its next push is stored.
+  void check_liveness() {
+    LeaseTable& leases = *random_process();
+    const bool is_first = leases.epoch(kProxy) == 0;
+    const RemoteState remote = receiver_.check_liveness(leases);
+    const LeaseTable::Ownership ownership = leases.observe(kProxy, remote);
+    const bool is_claimed = ownership == LeaseTable::Ownership::claimed;
+    if (is_claimed) RC_ASSERT(is_first || remote.lease_expired);
+    if (is_first) RC_ASSERT(is_claimed);
+    ownerships_[leases.owner()] = ownership;
+    if (!is_claimed) return;
+    const RemoteState before = receiver_.stored;
+    RC_ASSERT(receiver_.store(leases, ++version_));
+    RC_ASSERT(!before.has_table || before.epoch < receiver_.stored.epoch);
+  }
+
+  /// A process pushes, unless it knows that the proxy is another's.
+  void push() {
+    LeaseTable& leases = *random_process();
+    const std::string& owner = leases.owner();
+    if (!ownerships_.contains(owner) || ownerships_[owner] == LeaseTable::Ownership::theirs) return;
+    const RemoteState before = receiver_.stored;
+    if (receiver_.store(leases, ++version_)) {
+      // Or it claimed the proxy after the lease had expired, and pushes only now.
+      RC_ASSERT(before.owner == owner || claimed_after_expiry_.contains(owner));
+      claimed_after_expiry_.erase(owner);
+      return;
+    }
+    const RemoteState remote = receiver_.check_liveness(leases);
+    ownerships_[owner] = leases.observe(kProxy, remote);
+    RC_ASSERT((ownerships_[owner] == LeaseTable::Ownership::claimed) == remote.lease_expired);
+    if (remote.lease_expired) claimed_after_expiry_.insert(owner);
+  }
+
+  void pass_a_step() { ++receiver_.silent_steps; }
+
+ private:
+  // The first epoch is that of a clock which may have gone back since the last start.
+  std::unique_ptr<LeaseTable> start() {
+    const auto first_epoch = *rc::gen::inRange<std::uint64_t>(1, 20);
+    return std::make_unique<LeaseTable>(first_epoch, "g" + std::to_string(++started_));
+  }
+  std::unique_ptr<LeaseTable>& random_process() { return processes_[*rc::gen::inRange<std::size_t>(0, 2)]; }
+
+  std::uint64_t started_ = 0;
+  std::uint64_t version_ = 0;
+  PlainReceiver receiver_;
+  std::array<std::unique_ptr<LeaseTable>, 2> processes_{start(), start()};
+  std::map<std::string, LeaseTable::Ownership> ownerships_;  // by process, as last observed
+  std::set<std::string> claimed_after_expiry_;               // and not pushed since
+};
+
+// A process that owns a proxy gets its next push stored unless another claimed the proxy since; one that does
+// not is never stored; and a proxy changes hands only by a first observation or an expired lease.
+RC_GTEST_PROP(LeaseTableTest, OneProcessPushesAtATime, ()) {
+  CompetingProcesses processes;
+  for (int steps = *rc::gen::inRange(5, 120); steps > 0; --steps) {
+    processes.pass_a_step();
+    switch (*rc::gen::inRange(0, 5)) {
+      case 0:
+        processes.restart_one();
+        break;
+      case 1:
+      case 2:
+        processes.check_liveness();
+        break;
+      default:
+        processes.push();
+        break;
+    }
+  }
+}
+
+}  // namespace
+}  // namespace ospreypost::routing_state
