--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -36,7 +36,7 @@
 /// Lock order: the watcher's lock that keeps lists in their order; then the lock of `ControllerDriver`, which
 /// is held during each call on the controller and so during the actions below; then one of the locks of
 /// `StreamDelivery`, `HealthChecker`, `RateLimitedLogger` or a thread pool, none of which is held while
-/// another lock is taken. The streams' thread holds no lock when it calls its handler.
+/// another one of these is taken. The streams' thread holds no lock when it calls its handler.
 class PlatformServer : private control_plane::ControllerFrontend {
  public:
   /// Throws `net::Error` if an address cannot be had. Serves from then on.
