--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,17 +1,22 @@
-// Configurations of the platform, and the lists that they hold.
+/// Configurations of the platform, and the lists that they hold.
 #include "platform/platform_config.h"
 
+#include <cstddef>
+#include <cstdint>
 #include <cstdlib>
+#include <string_view>
 
 #include "config/xml.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace ospreypost;
+  const std::string_view text(reinterpret_cast<const char*>(data), size);
   try {
-    const auto read = platform::parse_platform_config({reinterpret_cast<const char*>(data), size}, "fuzz");
-    if (read.classes.empty() != read.settings.classes.empty()) std::abort();
-  } catch (const config::ConfigError& fault) {
-    if (std::string_view(fault.what()).substr(0, 5) != "fuzz:") std::abort();
+    const auto config = platform::parse_platform_config(text, "fuzz");
+    if (config.classes.empty() != config.settings.classes.empty()) std::abort();
+  } catch (const config::ConfigError& error) {
+    const std::string_view message(error.what());
+    if (!message.starts_with("fuzz:")) std::abort();
   }
   return 0;
 }
