--- /dev/null
+++ b/tests/program/platform_config_test.cpp
@@ -0,0 +1,64 @@
+/// The platform's configuration: what is read of it, and how faults are named.
+#include "platform/platform_config.h"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <string>
+#include <vector>
+
+#include "config/xml.h"
+#include "policy/controller.h"
+#include "program/platform_support.h"
+
+namespace ospreypost::platform {
+namespace {
+
+using namespace std::chrono_literals;
+using test::Words;
+
+// The message of the error that the text leads to; empty if it is read.
+std::string parse_error(const std::string& text) {
+  try {
+    parse_platform_config(text, "c.json");
+  } catch (const config::ConfigError& error) {
+    return error.what();
+  }
+  return {};
+}
+
+TEST(PlatformConfigTest, ReadsTheSettingsLikeTheSimulatorsProtocol) {
+  const auto config = parse_platform_config(test::platform_config(), "c.json");
+  EXPECT_EQ(config.name, "n0");
+  EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
+  EXPECT_EQ(config.classes, (Words{"read", "sign"}));
+  EXPECT_EQ(config.settings.classes[1].effect, Idempotency::at_most_once);
+  EXPECT_EQ(config.settings.classes[1].request_deadline, 2s);
+  EXPECT_EQ(config.settings.drain_grace, 3s);
+  EXPECT_EQ(config.settings.zones, 2U);
+  EXPECT_EQ(config.settings.max_messages_per_window, 12U);
+  EXPECT_EQ(config.settings.load_columns, std::vector<LoadMetric>{LoadMetric::util});
+}
+
+TEST(PlatformConfigTest, NamesTheFileAndTheFieldOfAFault) {
+  const auto sound = test::platform_config();
+  for (const std::string field : {"listen", "discovery", "seed", "limits", "sockets", "known", "settings",
+                                  "classes", "bare-s", "default-retry", "quantum-s"}) {
+    auto text = sound;
+    const auto key = '"' + field + '"';
+    text.replace(text.find(key), key.size(), "\"x\"");
+    const auto error = parse_error(text);
+    EXPECT_FALSE(error.empty()) << "without " << field;
+    EXPECT_EQ(error.substr(0, 7), "c.json:");
+    EXPECT_NE(error.find(field), std::string::npos) << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos);
+  }
+}
+
+TEST(PlatformConfigTest, RejectsWhatIsNoJsonAndNoFile) {
+  EXPECT_THROW(parse_platform_config("{", "c.json"), config::ConfigError);
+  EXPECT_THROW(read_platform_config("/nonexistent"), config::ConfigError);
+}
+
+}  // namespace
+}  // namespace ospreypost::platform
--- a/tests/program/platform_server_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -1,170 +1,257 @@
-// The platform's door on loopback, with scripted peers: strangers, second streams, spoilt reports, discovery.
+/// A control plane instance on loopback with scripted peers and a scripted discovery server.
 #include "platform/platform_server.h"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include <condition_variable>
+#include <algorithm>
+#include <chrono>
 #include <deque>
-#include <mutex>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
 
-#include "http/http.h"
+#include "net/socket.h"
+#include "platform/platform_config.h"
 #include "program/platform_support.h"
+#include "resp/resp.h"
 
 namespace ospreypost::platform {
 namespace {
 
 using namespace std::chrono_literals;
-using Words = std::vector<std::string>;
+using test::endpoint_entry;
+using test::endpoint_list;
+using test::FakeDiscovery;
+using test::receive_weights;
+using test::request_liveness;
+using test::Words;
 
-using test::Discovery;
-using test::lines_of;
+std::shared_ptr<spdlog::logger> silent_logger() { return std::make_shared<spdlog::logger>("test"); }
 
-struct Platform : testing::Test {
-  Discovery discovery;
-  PlatformConfig environment = parse_platform_config(test::platform_config(discovery.address()), "test");
-  PlatformServer service{environment, std::make_shared<spdlog::logger>("test")};
-  net::Address at = service.address();
+struct PlatformServerTest : testing::Test {
+  void move_discovery_to(const FakeDiscovery& other) {
+    auto changed = config;
+    changed.discovery = net::Address::parse(other.address());
+    server.reload(changed);
+  }
+  // Joins as proxy 3, and returns the weights that it receives: there are three replicas.
+  static test::Weights join(test::Peer& peer) {
+    peer.send_hello("3");
+    return receive_weights(peer);
+  }
+
+  FakeDiscovery discovery;
+  PlatformConfig config = parse_platform_config(test::platform_config(discovery.address()), "test");
+  PlatformServer server{config, silent_logger()};
+  net::Address address = server.address();
 };
 
-TEST_F(Platform, GivesASignOfLifeAndAJoiningProxyItsTable) {
-  test::Peer peer(at);
-  peer.say({"probe"});
-  EXPECT_EQ(peer.hear(), Words{"alive"});
-  peer.hello("3");
-  const auto push = peer.hear();
-  ASSERT_GE(push.size(), 5u);
+TEST_F(PlatformServerTest, AnswersLivenessRequestsAndSendsAJoiningProxyItsTables) {
+  test::Peer peer(address);
+  EXPECT_EQ(request_liveness(peer), Words{"alive"});
+  peer.send_hello("3");
+  const auto push = peer.receive();
+  ASSERT_GE(push.size(), 5U);
   EXPECT_EQ((Words{push[0], push[1], push[2], push[3]}), (Words{"push", "full", "1", "endpoints"}));
   EXPECT_EQ(std::count(push[4].begin(), push[4].end(), ':'), 3);
 }
 
-TEST_F(Platform, StrangersAreRefusedAndProxiesStillGetIn) {
-  for (const std::string_view bytes :
-       {"GET / HTTP/1.1\r\n\r\n", "*1\r\n$999999999\r\n", "*99\r\n", "\r\n", "*1\r\n$5\r\ndance\r\n",
-        "*3\r\n$4\r\npush\r\n$4\r\nfull\r\n$1\r\n1\r\n",
-        "*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$2\r\n99\r\n$4\r\nsite\r\n$4\r\neast\r\n$3\r\nrps\r\n$1\r\n1\r\n$"
-        "3\r\nnew\r\n$1\r\n1\r\n",
-        "*7\r\n$3\r\nack\r\n$2\r\nid\r\n$1\r\n3\r\n$3\r\nseq\r\n$1\r\n3\r\n$2\r\nms\r\n$1\r\n3\r\n"}) {
-    test::Peer stranger(at);
-    stranger.say_raw(bytes);
-    const auto answer = stranger.hear();
+std::string encoded(const std::vector<std::string_view>& words) {
+  std::string bytes;
+  resp::write_message(bytes, words);
+  return bytes;
+}
+
+TEST_F(PlatformServerTest, RejectsWhatUnidentifiedConnectionsMayNotSend) {
+  for (const std::string& bytes :
+       {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("*1\r\n$999999999\r\n"), std::string("*99\r\n"),
+        std::string("\r\n"), encoded({"dance"}), encoded({"push", "full", "1"}),
+        encoded({"hello", "id", "99", "site", "east", "rps", "1", "new", "1"}),
+        encoded({"ack", "id", "3", "seq", "3", "ms", "3"})}) {
+    test::Peer peer(address);
+    peer.send_raw(bytes);
+    const auto answer = peer.receive();
     EXPECT_TRUE(answer.empty() || answer.front() == "error") << bytes;
   }
-  // More silent ones and halves of messages than there is room for: the oldest give way.
-  std::deque<test::Peer> silent;
+}
+
+TEST_F(PlatformServerTest, AcceptsAProxyDuringAFloodOfUnidentifiedConnections) {
+  // More silent ones and halves of messages than may be open: the oldest are closed.
+  std::deque<test::Peer> flood;
   for (int n = 0; n < 90; ++n) {
-    silent.emplace_back(at);
-    if (n % 2 == 0) silent.back().say_raw("*2\r\n$5\r\nhel");
+    flood.emplace_back(address);
+    if (n % 2 == 0) flood.back().send_raw("*2\r\n$5\r\nhel");
   }
-  test::Peer proxy(at);
-  proxy.hello("1");
-  EXPECT_EQ(lines_of(proxy).size(), 3u);
-  // And none is held for long.
-  for (auto& one : silent) {
-    const auto answer = one.hear();
+  test::Peer proxy(address);
+  proxy.send_hello("1");
+  EXPECT_EQ(receive_weights(proxy).size(), 3U);
+  // And none of them stays open for long.
+  for (auto& peer : flood) {
+    const auto answer = peer.receive();
     EXPECT_TRUE(answer.empty() || answer.front() == "error");
   }
-  proxy.say({"probe"});
-  EXPECT_EQ(proxy.hear(), Words{"alive"}) << "whoever joined stays";
+  EXPECT_EQ(request_liveness(proxy), Words{"alive"}) << "whoever joined stays";
 }
 
-TEST_F(Platform, ASecondStreamReplacesTheFirstWhoseEndSaysNothing) {
+TEST_F(PlatformServerTest, ReplacesTheFirstStreamOfAProxyByItsSecond) {
   discovery.next_watch();
-  test::Peer first(at);
-  first.hello("3");
-  EXPECT_EQ(lines_of(first).size(), 3u);
-  test::Peer second(at);
-  second.hello("3");
-  EXPECT_EQ(lines_of(second).size(), 3u);
-  for (Words words; !(words = first.hear()).empty();) EXPECT_EQ(words.front(), "push");
-  discovery.say(test::roster(42, false, test::member("s-2", "DRAINING")));
-  EXPECT_EQ(lines_of(second)["s-2"], "0");
-}
-
-TEST_F(Platform, SpoiltReportsCostNothingButThemselvesAndGarbageItsStream) {
-  test::Peer proxy(at);
-  proxy.hello("3");
-  EXPECT_EQ(lines_of(proxy).size(), 3u);
-  proxy.say(
+  test::Peer first(address);
+  EXPECT_EQ(join(first).size(), 3U);
+  test::Peer second(address);
+  EXPECT_EQ(join(second).size(), 3U);
+  for (auto words = first.receive(); !words.empty(); words = first.receive())
+    EXPECT_EQ(words.front(), "push");
+  discovery.send_line(endpoint_list(42, false, endpoint_entry("s-2", "DRAINING")));
+  EXPECT_EQ(receive_weights(second)["s-2"], "0");
+}
+
+TEST_F(PlatformServerTest, DropsWrongMessagesOfWhoeverIsIdentified) {
+  test::Peer proxy(address);
+  EXPECT_EQ(join(proxy).size(), 3U);
+  proxy.send(
       {"outcomes", "site", "east", "target", "s-9", "count", "1", "fail", "0", "mean", "nan", "over", "0"});
-  proxy.say({"ack", "id", "3"});
-  proxy.say({"dance"});
-  proxy.say({"probe"});
-  EXPECT_EQ(proxy.hear(), Words{"alive"});
-  test::Peer collector(at);
-  collector.say({"agent", "site", "west"});
-  collector.say({"outcomes", "site", "moon"});
-  collector.say({"probe"});
-  EXPECT_EQ(collector.hear(), Words{"alive"});
-  proxy.say_raw("?\r\n");
-  EXPECT_TRUE(proxy.hear().empty());
-  test::Peer again(at);
-  again.hello("3");
-  EXPECT_EQ(lines_of(again).size(), 3u);
-}
-
-TEST_F(Platform, DiscoveryIsFollowedWhereTheNewConfigurationNamesIt) {
+  proxy.send({"ack", "id", "3"});
+  proxy.send({"dance"});
+  EXPECT_EQ(request_liveness(proxy), Words{"alive"});
+  test::Peer collector(address);
+  collector.send({"agent", "site", "west"});
+  collector.send({"outcomes", "site", "moon"});
+  EXPECT_EQ(request_liveness(collector), Words{"alive"});
+}
+
+TEST_F(PlatformServerTest, ClosesTheStreamAfterBytesThatAreNoMessage) {
+  test::Peer proxy(address);
+  EXPECT_EQ(join(proxy).size(), 3U);
+  proxy.send_raw("?\r\n");
+  EXPECT_TRUE(proxy.receive().empty());
+  test::Peer again(address);
+  EXPECT_EQ(join(again).size(), 3U);
+}
+
+TEST_F(PlatformServerTest, FollowsDiscoveryToTheReloadedAddress) {
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=41");
-  test::Peer proxy(at);
-  proxy.hello("3");
-  EXPECT_EQ(lines_of(proxy).size(), 3u);
-  discovery.say("");
-  discovery.say(test::roster(43, false, test::member("s-1", "DRAINING")));
-  EXPECT_EQ(lines_of(proxy)["s-1"], "0");
-  Discovery other;
-  auto renewed = environment;
-  renewed.discovery = net::Address::parse(other.address());
-  service.reload(renewed);
+  test::Peer proxy(address);
+  EXPECT_EQ(join(proxy).size(), 3U);
+  discovery.send_line("");
+  discovery.send_line(endpoint_list(43, false, endpoint_entry("s-1", "DRAINING")));
+  EXPECT_EQ(receive_weights(proxy)["s-1"], "0");
+  FakeDiscovery other;
+  move_discovery_to(other);
   EXPECT_EQ(other.next_watch(), "/registry/instances?watch=1&after=43");
-  other.say(test::roster(44, false, test::member("s-2", "DELETED")));
-  EXPECT_EQ(lines_of(proxy)["s-2"], "0");
-  discovery.wait_until_left();
+  other.send_line(endpoint_list(44, false, endpoint_entry("s-2", "DELETED")));
+  EXPECT_EQ(receive_weights(proxy)["s-2"], "0");
+  discovery.wait_until_disconnected();
 }
 
-TEST_F(Platform, AListThatCannotBeReadIsAskedForAnew) {
+TEST_F(PlatformServerTest, WatchesAnewAfterAListThatCannotBeRead) {
   discovery.next_watch();
-  test::Peer proxy(at);
-  proxy.hello("3");
-  EXPECT_EQ(lines_of(proxy).size(), 3u);
-  discovery.say(test::roster(48, true, test::member("s-1") + "," + test::member("s-2")));
-  EXPECT_EQ(lines_of(proxy)["s-3"], "0") << "whom a whole list leaves out is gone";
-  discovery.say("no list");
+  test::Peer proxy(address);
+  EXPECT_EQ(join(proxy).size(), 3U);
+  discovery.send_line(endpoint_list(48, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2")));
+  EXPECT_EQ(receive_weights(proxy)["s-3"], "0") << "what a complete list leaves out is gone";
+  discovery.send_line("no list");
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=48");
 }
 
-TEST(GossipChannel, HearPeersOnlyAndTellNoMoreThanADatagramHolds) {
-  const net::Address any{"127.0.0.1", 0};
-  const auto nobody = net::bind_udp(any);
-  std::mutex lock;
-  std::condition_variable changed;
-  Words heard;
-  const auto note = [&](PeerId peer, std::string_view message) {
-    const std::lock_guard held(lock);
-    heard.push_back(std::to_string(static_cast<int>(peer)) + std::string(message));
-    changed.notify_all();
-  };
-  GossipChannel first(any, {}, any, [](PeerId, std::string_view) {});
-  GossipChannel second(any, {net::local_address(nobody), first.address()}, any, note);
-  GossipChannel teller(any, {second.address()}, second.address(), [](PeerId, std::string_view) {});
-  EXPECT_FALSE(teller.send_to_peer(PeerId{0}, std::string(257, 'x')));
-  EXPECT_FALSE(teller.send_to_peer(PeerId{1}, "x")) << "nobody has that number";
-  EXPECT_TRUE(teller.send_to_peer(std::nullopt, "a stranger's"));
-  const std::string_view words = "a peer's";
-  net::send_to(nobody, {reinterpret_cast<const std::uint8_t*>(words.data()), words.size()}, second.address());
-  std::unique_lock held(lock);
-  EXPECT_TRUE(changed.wait_for(held, 10s, [&] { return !heard.empty(); }));
-  EXPECT_EQ(heard, Words{"0a peer's"});
-}
-
-TEST(DiscoveryWatcher, ASilentOneIsDialledAgain) {
-  struct Sink : discovery::EndpointListHandler {
-    void on_endpoint_list_update(const discovery::EndpointListUpdate&) override {}
-    void on_discovery_silent(const std::string&) override {}
-  } sink;
-  Discovery discovery;
-  discovery::DiscoveryWatcher registry(net::Address::parse(discovery.address()), 5, sink, {1s, 50ms});
-  EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=5");
-  EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=5") << "nothing came on the first";
+// --- Lists that go back, with a proxy that has joined
+
+struct PlatformServerListTest : PlatformServerTest {
+  void SetUp() override {
+    discovery.next_watch();
+    ASSERT_EQ(join(proxy).size(), 3U);
+  }
+  static bool has_weight(const test::Weights& weights, const std::string& replica) {
+    return weights.contains(replica) && weights.at(replica) != "0";
+  }
+
+  test::Peer proxy{address};
+};
+
+TEST_F(PlatformServerListTest, BringsNothingBackFromAnOlderCompleteList) {
+  discovery.send_line(
+      endpoint_list(43, false, endpoint_entry("s-1", "DRAINING") + "," + endpoint_entry("s-2", "DELETED")));
+  EXPECT_EQ(receive_weights(proxy)["s-1"], "0");
+  FakeDiscovery behind;
+  move_discovery_to(behind);
+  behind.next_watch();
+  behind.send_line(endpoint_list(
+      42, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2") + "," + endpoint_entry("s-3")));
+  behind.send_line(endpoint_list(43, false, endpoint_entry("s-1")));
+  // What comes after is applied, and nothing of the older list came with it.
+  behind.send_line(endpoint_list(44, false, endpoint_entry("s-4")));
+  test::Weights weights;
+  while (!weights.contains("s-4")) {
+    weights = receive_weights(proxy);
+    ASSERT_FALSE(weights.empty()) << "the server ended the stream";
+    EXPECT_FALSE(has_weight(weights, "s-1"));
+    EXPECT_FALSE(has_weight(weights, "s-2"));
+  }
+}
+
+TEST_F(PlatformServerListTest, AppliesADrainFromTheOldAddressDuringAMove) {
+  FakeDiscovery behind;
+  move_discovery_to(behind);
+  behind.next_watch();
+  // The new address is up and has nothing newer; the old one has not closed yet.
+  behind.send_line("");
+  discovery.send_line(endpoint_list(42, false, endpoint_entry("s-2", "DRAINING")));
+  EXPECT_EQ(receive_weights(proxy)["s-2"], "0");
+  discovery.wait_until_disconnected();
+}
+
+TEST_F(PlatformServerListTest, LeavesAReplicaAsItWasWhoseEntryCannotBeRead) {
+  discovery.send_line(endpoint_list(42, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2", "SPOILT")));
+  const auto weights = receive_weights(proxy);
+  EXPECT_TRUE(weights.contains("s-3") && weights.at("s-3") == "0") << "left out: gone";
+  EXPECT_FALSE(weights.contains("s-2")) << "unreadable: as it was";
+}
+
+std::string unix_milliseconds() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+}
+
+TEST_F(PlatformServerListTest, WarmsUpAReplicaThatReturnsUnderItsNameWithANewStart) {
+  discovery.send_line(endpoint_list(42, false, endpoint_entry("s-2", "DELETED")));
+  EXPECT_EQ(receive_weights(proxy)["s-2"], "0");
+  discovery.send_line(
+      endpoint_list(43, false, endpoint_entry("s-2", "SERVING", "127.0.0.1:10", unix_milliseconds())));
+  test::Weights weights;
+  while (!weights.contains("s-2")) {
+    weights = receive_weights(proxy);
+    ASSERT_FALSE(weights.empty()) << "the server ended the stream";
+  }
+  EXPECT_LT(std::stod(weights["s-2"]), 0.9) << "warming up";
+}
+
+// --- Health checks
+
+std::string replaced(std::string text, const std::string& from, const std::string& replacement) {
+  return text.replace(text.find(from), from.size(), replacement);
+}
+
+// More replicas hang than are checked at once, and more wait than one iteration requests: whichever is listed
+// last is checked all the same.
+TEST(PlatformServerHealthCheckTest, ReachesEveryReplicaThoughManyHang) {
+  const auto hanging = net::listen_tcp({"127.0.0.1", 0}, 4096);  // connections come up, and get no answer
+  const auto healthy = net::listen_tcp({"127.0.0.1", 0}, 64);
+  std::string entries;
+  for (int n = 0; n < 120; ++n) {
+    const auto name = "hangs-" + std::to_string(n);
+    entries += endpoint_entry(name, "SERVING", net::local_address(hanging).text()) + ",";
+  }
+  entries += endpoint_entry("well", "SERVING", net::local_address(healthy).text());
+  auto text = replaced(test::platform_config(), R"("via":"piggyback")", R"("via":"pull")");
+  const std::string list_begin = R"("members":[)";
+  const auto entries_begin = text.find(list_begin) + list_begin.size();
+  text.replace(entries_begin, text.find(']', entries_begin) - entries_begin, entries);
+  const PlatformServer server(parse_platform_config(text, "test"), silent_logger());
+  for (int times = 0; times < 2; ++times) {
+    const auto connection = net::accept(healthy, net::Steady::now() + 15s);
+    ASSERT_TRUE(connection) << "after " << times;
+  }
 }
 
 }  // namespace
