--- a/tests/program/discovery_watcher_test.cpp
+++ b/tests/program/discovery_watcher_test.cpp
@@ -92,7 +92,7 @@
     revisions_.push_back(list.revision);
     changed_.notify_all();
   }
-  void on_discovery_silent(const std::string&) override {}
+  void on_discovery_error(const std::string&) override {}
   bool wait_for(std::uint64_t revision) {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, 10s, [&] { return !revisions_.empty() && revisions_.back() == revision; });
@@ -108,10 +108,10 @@
   std::vector<std::uint64_t> revisions_;  // guarded by `mutex_`
 };
 
-DiscoveryWatcher::Waits waits(net::Steady::duration connect, net::Steady::duration silence) {
-  DiscoveryWatcher::Waits made;
+DiscoveryWatcher::Timeouts waits(net::Steady::duration connect, net::Steady::duration silence) {
+  DiscoveryWatcher::Timeouts made;
   made.connect = connect;
-  made.silence = silence;
+  made.idle = silence;
   return made;
 }
 
@@ -154,7 +154,7 @@
   FullListener full;
   DiscoveryWatcher watcher(full.address(), kRevision, handler, waits(kNever, kNever));
   full.wait_until_dialled();
-  watcher.look();
+  watcher.refresh();
   const auto accepted = full.open();
   const auto request = receive_request(full);
   EXPECT_TRUE(request.starts_with("GET /registry/instances?watch=1 HTTP")) << request;
@@ -222,7 +222,7 @@
 TEST_F(DiscoveryWatcherTest, StartsOverWithAServerThatStaysBehind) {
   FakeDiscovery discovery;
   auto short_waits = waits(10s, 10s);
-  short_waits.behind = 50ms;
+  short_waits.stale = 50ms;
   const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), 41, handler, short_waits);
   discovery.next_watch();
   discovery.send_line(endpoint_list(7, true, endpoint_entry("a")));
@@ -245,8 +245,8 @@
       endpoint_list(1, true,
                     endpoint_entry("a") + R"(,{"id":7},)" + endpoint_entry("b", "DANCING") + "," +
                         endpoint_entry("a") + "," + endpoint_entry("c", "SERVING", "nowhere")));
-  EXPECT_EQ(list.members.size(), 1U);
-  EXPECT_EQ(list.refused, 4U);
+  EXPECT_EQ(list.entries.size(), 1U);
+  EXPECT_EQ(list.rejected, 4U);
 }
 
 }  // namespace
--- a/tests/program/table_update_encoder_test.cpp
+++ b/tests/program/table_update_encoder_test.cpp
@@ -183,7 +183,7 @@
                           std::size_t cls) {
     if (!published) return;
     std::map<std::string, double> weights;
-    for (const auto& entry : published->lines) weights[std::string(name_of(entry.replica))] = entry.weight;
+    for (const auto& entry : published->entries) weights[std::string(name_of(entry.replica))] = entry.weight;
     RC_ASSERT(plain.weights == weights);
     RC_ASSERT(std::stod(plain.level) == published->traffic_policies[cls].admitted_fraction);
     RC_ASSERT(plain.retry_mode == std::to_string(static_cast<int>(published->traffic_policies[cls].retry)));
