--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -134,7 +134,7 @@
     std::vector<EndpointUpdate> entries;
     for (const auto& change : taken.changes) {
       const auto id = replicas_.id_of(change.name);
-      if (static_cast<std::size_t>(id) >= before) governor.named(now, id, change.name);
+      if (static_cast<std::size_t>(id) >= before) governor.on_replica_named(now, id, change.name);
       EndpointUpdate entry;
       entry.replica = replicas_.id_of(change.name);
       entry.phase = change.phase;
--- a/src/record/recording_controller.cpp
+++ b/src/record/recording_controller.cpp
@@ -164,7 +164,7 @@
       },
       [&] { governor_->on_peer_message(now, peer, message); });
 }
-void RecordingController::named(Nanos now, ReplicaId replica, const std::string& name) {
+void RecordingController::on_replica_named(Nanos now, ReplicaId replica, const std::string& name) {
   call(
       now,
       [&](Entry& entry) {
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -34,7 +34,7 @@
   void on_timer(Nanos now, TimerId timer);
   void on_peer_message(Nanos now, PeerId peer, std::string_view message);
   // No call: what an id stands for, for those who read the record.
-  void named(Nanos now, ReplicaId replica, const std::string& name);
+  void on_replica_named(Nanos now, ReplicaId replica, const std::string& name);
 
  private:
   void on_action(const Action& action) override;
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -39,7 +39,7 @@
   RecordingController tap(config::module_settings(config), config.seed, begun, host, &writer, config.text);
   std::vector<EndpointUpdate> list;
   for (std::uint32_t n = 0; n < names.size(); ++n) {
-    tap.named(begun, ReplicaId{n}, names[n]);
+    tap.on_replica_named(begun, ReplicaId{n}, names[n]);
     list.push_back({ReplicaId{n}, ZoneId{0}, {}, {}, EndpointPhase::ready, 1, {}});
   }
   tap.on_endpoint_list(begun, EndpointListKind::cached, list);
@@ -76,7 +76,7 @@
   fs::create_directories(place.in("a"));
   // A life whose file is named by a clock that ran years ahead.
   Copy ahead(place.in("ahead"));
-  ahead.file({kSchema, Nanos(std::chrono::hours(24 * 365 * 70)), 1s, 0});
+  ahead.file({kSchemaVersion, Nanos(std::chrono::hours(24 * 365 * 70)), 1s, 0});
   kept::Entry entry;
   entry.set_at(Nanos(1s).count());
   entry.mutable_begin()->set_configuration(test::small_config_text());
@@ -107,7 +107,7 @@
   live(place.in("a"), 5s, {"x"}, 2);
   const auto whole = bytes_of(files_of({place.in("a")}).front());
   const auto entries_in = [](const std::string& text, std::size_t& damaged) {
-    Blocks blocks(text);
+    BlockReader blocks(text);
     std::size_t entries = 0;
     while (const auto block = blocks.next()) entries += block->head.entries;
     damaged = blocks.damaged();
@@ -117,7 +117,7 @@
   const auto entries = entries_in(whole, damaged);
   ASSERT_EQ(damaged, 0U);
   std::size_t refused = 0;
-  for (std::size_t at = 0; at < file_head().size(); ++at) {
+  for (std::size_t at = 0; at < encode_file_header().size(); ++at) {
     auto flipped = whole;
     flipped[at] = static_cast<char>(flipped[at] ^ 0x40);
     try {
@@ -138,7 +138,7 @@
   std::string old("OSPREC\1\0", 8);
   for (const auto& file : files_of({place.in("a")})) {
     const auto text = bytes_of(file);
-    Blocks blocks(text);
+    BlockReader blocks(text);
     while (const auto block = blocks.next()) {
       kept::Block one;
       ASSERT_TRUE(one.ParseFromString(block->payload));
@@ -147,7 +147,7 @@
         if (entry.has_replica_summed()) entry.mutable_replica_summed()->clear_late();
         if (entry.has_demand_summed()) entry.mutable_demand_summed()->clear_late();
       }
-      old += pack(block->head, one.SerializeAsString());
+      old += encode_block(block->head, one.SerializeAsString());
     }
   }
   const auto path = place.in("001796149725184-000000.rec");
