--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -41,13 +41,13 @@
     std::fprintf(stderr, "bench_records RECORD...\n");
     return 2;
   }
-  const auto files = record::files_of({argv + 1, argv + argc});
-  const auto contents = record::look_into(files);
+  const auto files = record::list_files({argv + 1, argv + argc});
+  const auto contents = record::summarize(files);
   std::uint64_t bytes = 0, unpacked = 0, sums = 0, json = 0;
   for (const auto& file : contents.files) bytes += file.bytes, unpacked += file.unpacked;
   for (const char* call : {"replica_summed", "demand_summed"}) {
-    const auto known = contents.calls.find(call);
-    sums += known == contents.calls.end() ? 0 : known->second;
+    const auto known = contents.events.find(call);
+    sums += known == contents.events.end() ? 0 : known->second;
   }
   record::dump(files, {}, true, [&](Nanos, const std::string& line) { json += line.size() + 1; });
 
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -35,8 +35,8 @@
   kept::Entry begin;
   begin.set_at(1);
   begin.mutable_begin()->set_configuration(config.text);
-  reader.entry(begin);
-  for (const auto& entry : block.entries()) reader.entry(entry);
+  reader.on_entry(begin);
+  for (const auto& entry : block.entries()) reader.on_entry(entry);
   try {
     const auto history = reader.end({});
     const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -9,7 +9,7 @@
   using namespace ospreypost;
   const std::string text(reinterpret_cast<const char*>(data), size);
   try {
-    record::Blocks blocks(text);
+    record::BlockReader blocks(text);
     while (const auto found = blocks.next()) {
       kept::Block block;
       block.ParseFromString(found->payload);
@@ -17,8 +17,9 @@
   } catch (const net::Error&) {
   }
   // A block around it is read back whole, whatever it holds.
-  const auto framed = record::file_head() + text + record::pack({1, 2, Nanos(3), Nanos(4)}, text);
-  record::Blocks blocks(framed);
+  const auto framed =
+      record::encode_file_header() + text + record::encode_block({1, 2, Nanos(3), Nanos(4)}, text);
+  record::BlockReader blocks(framed);
   bool found = false;
   while (const auto block = blocks.next()) found = block->payload == text;
   if (!found) std::abort();
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -38,47 +38,49 @@
   return *time;
 }
 
-record::Window window_of(const RecordOptions& options) {
-  record::Window window;
+record::TimeWindow window_of(const RecordOptions& options) {
+  record::TimeWindow window;
   if (!options.from.empty()) window.from = time_of(options.from, "--from");
   if (!options.to.empty()) window.to = time_of(options.to, "--to");
   if (window.to < window.from) throw config::ConfigError("--to lies before --from");
   return window;
 }
 
-nlohmann::json json_of(const record::Contents& contents) {
-  nlohmann::json json = {{"lives", contents.lives}, {"calls", contents.calls}, {"orders", contents.orders}};
+nlohmann::json json_of(const record::RecordSummary& contents) {
+  nlohmann::json json = {
+      {"lives", contents.incarnations}, {"calls", contents.events}, {"orders", contents.actions}};
   for (const auto& file : contents.files) {
     json["files"].push_back({{"path", file.path},
-                             {"schema", file.head.schema},
-                             {"begun", date_of(file.head.wall)},
+                             {"schema", file.header.schema},
+                             {"begun", date_of(file.header.wall_time)},
                              {"seconds", seconds(file.length)},
                              {"bytes", file.bytes},
                              {"unpacked", file.unpacked},
                              {"blocks", file.blocks},
                              {"entries", file.entries},
-                             {"lost", file.damage.lost},
-                             {"damaged", file.damage.damaged}});
+                             {"lost", file.corruption.lost_entries},
+                             {"damaged", file.corruption.corrupt_stretches}});
   }
   return json;
 }
 
-void print(const record::Contents& contents) {
+void print(const record::RecordSummary& contents) {
   for (const auto& file : contents.files) {
     std::printf("%s\n  schema %u, begun %s, %.1f s; %llu entries in %llu blocks, %llu bytes, %llu unpacked",
-                file.path.c_str(), file.head.schema, date_of(file.head.wall).c_str(), seconds(file.length),
-                static_cast<unsigned long long>(file.entries), static_cast<unsigned long long>(file.blocks),
-                static_cast<unsigned long long>(file.bytes), static_cast<unsigned long long>(file.unpacked));
-    if (file.damage.lost + file.damage.damaged > 0) {
+                file.path.c_str(), file.header.schema, date_of(file.header.wall_time).c_str(),
+                seconds(file.length), static_cast<unsigned long long>(file.entries),
+                static_cast<unsigned long long>(file.blocks), static_cast<unsigned long long>(file.bytes),
+                static_cast<unsigned long long>(file.unpacked));
+    if (file.corruption.lost_entries + file.corruption.corrupt_stretches > 0) {
       std::printf("; partial: %llu entries were not kept, %llu stretches are damaged",
-                  static_cast<unsigned long long>(file.damage.lost),
-                  static_cast<unsigned long long>(file.damage.damaged));
+                  static_cast<unsigned long long>(file.corruption.lost_entries),
+                  static_cast<unsigned long long>(file.corruption.corrupt_stretches));
     }
     std::printf("\n");
   }
-  std::printf("%llu starts of a governor\n", static_cast<unsigned long long>(contents.lives));
+  std::printf("%llu starts of a governor\n", static_cast<unsigned long long>(contents.incarnations));
   for (const auto& [title, counts] :
-       {std::pair("calls", &contents.calls), std::pair("orders", &contents.orders)}) {
+       {std::pair("calls", &contents.events), std::pair("orders", &contents.actions)}) {
     std::printf("%s:", title);
     for (const auto& [word, count] : *counts)
       std::printf(" %s %llu", word.c_str(), static_cast<unsigned long long>(count));
@@ -89,13 +91,13 @@
 }  // namespace
 
 int record_info(const RecordOptions& options) {
-  const auto contents = record::look_into(record::files_of(options.records));
+  const auto contents = record::summarize(record::list_files(options.records));
   options.json ? void(std::printf("%s\n", json_of(contents).dump().c_str())) : print(contents);
   return 0;
 }
 
 int record_dump(const RecordOptions& options) {
-  record::dump(record::files_of(options.records), window_of(options), options.json,
+  record::dump(record::list_files(options.records), window_of(options), options.json,
                [&](Nanos at, const std::string& line) {
                  options.json ? std::printf("%s\n", line.c_str())
                               : std::printf("%.6f %s\n", seconds(at), line.c_str());
@@ -104,24 +106,24 @@
 }
 
 int record_cut(const RecordOptions& options) {
-  const auto left_out = record::cut(record::files_of(options.records), window_of(options), options.out);
+  const auto left_out = record::cut(record::list_files(options.records), window_of(options), options.out);
   std::printf("%llu entries were left out\n", static_cast<unsigned long long>(left_out));
   return 0;
 }
 
 int record_merge(const RecordOptions& options) {
-  record::merge(record::files_of(options.records), options.out);
+  record::merge(record::list_files(options.records), options.out);
   return 0;
 }
 
 int record_anonymise(const RecordOptions& options) {
-  replay::anonymise(record::files_of(options.records), options.out);
+  replay::anonymise(record::list_files(options.records), options.out);
   return 0;
 }
 
 int record_export_day(const RecordOptions& options) {
   namespace fs = std::filesystem;
-  const auto history = replay::read_history(record::files_of(options.records));
+  const auto history = replay::read_history(record::list_files(options.records));
   const auto config = config::parse_config(history.configuration, "the recorded configuration");
   const auto deployment = terms::deployment_of(config);
   try {
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -32,7 +32,7 @@
                 difference.replayed.empty() ? "nothing" : difference.replayed.c_str());
   };
   if (options.all) playing.differs = print;
-  const auto outcome = replay::replay(record::files_of(options.records), playing);
+  const auto outcome = replay::replay(record::list_files(options.records), playing);
   if (outcome.first && !options.all) print(*outcome.first);
   const auto count = [](std::uint64_t number) { return static_cast<unsigned long long>(number); };
   std::printf("%llu calls on %llu governors over %.1f s, %llu orders, digest %016llx\n", count(outcome.calls),
--- a/src/cli/what_if.cpp
+++ b/src/cli/what_if.cpp
@@ -141,7 +141,7 @@
 }  // namespace
 
 int what_if(const WhatIfOptions& options) {
-  const auto history = replay::read_history(record::files_of(options.records));
+  const auto history = replay::read_history(record::list_files(options.records));
   const auto recorded =
       terms::deployment_of(config::parse_config(history.configuration, "the recorded configuration"));
   simulation::Asking asking;
--- a/src/record/blocks.h
+++ b/src/record/blocks.h
@@ -16,16 +16,17 @@
 
 namespace ospreypost::record {
 
-inline constexpr std::uint16_t kSchema = 2;
+inline constexpr std::uint16_t kSchemaVersion = 2;
 
 // Of one file; all its entries are of one governor.
-struct FileHead {
-  std::uint16_t schema = kSchema;
-  Nanos wall{}, at{};        // of its first entry: since 1970, and on the entries' clock; 0 before schema 2
+struct FileHeader {
+  std::uint16_t schema = kSchemaVersion;
+  Nanos wall_time{},
+      clock_time{};          // of its first entry: since 1970, and on the entries' clock; 0 before schema 2
   std::uint32_t number = 0;  // of the files that the governor began
 };
 
-struct BlockHead {
+struct BlockHeader {
   std::uint32_t entries = 0;
   std::uint64_t lost = 0;  // entries that came between the block before and this one, and were not kept
   Nanos first{}, last{};
@@ -34,34 +35,34 @@
 // Of a file begun at `wall`, the `number`th of its governor; names sort by them.
 std::string file_name(Nanos wall, std::uint64_t number);
 // The time that a file's name carries, in milliseconds; 0 if it carries none that may be.
-Nanos time_in_name(const std::string& stem);
-std::string file_head(const FileHead& head = {});
+Nanos wall_time_of_name(const std::string& stem);
+std::string encode_file_header(const FileHeader& head = {});
 // A serialized Block, framed.
-std::string pack(const BlockHead& head, std::string_view payload);
+std::string encode_block(const BlockHeader& head, std::string_view payload);
 
 // Walks the blocks of one file's text.
-class Blocks {
+class BlockReader {
  public:
   // Throws net::Error if it is no record, or of a newer schema.
-  explicit Blocks(std::string_view file);
+  explicit BlockReader(std::string_view file);
   struct Found {
-    BlockHead head;
+    BlockHeader header;
     std::string payload;
   };
-  const FileHead& head() const { return head_; }
+  const FileHeader& header() const { return header_; }
   // The next good block; empty at the end.
   std::optional<Found> next();
   // From now on only blocks that touch this stretch of their clock; the others are passed over unread, as far
   // as their heads lead to a next one.
-  void only(Nanos from, Nanos to) { from_ = from, to_ = to; }
+  void restrict_to(Nanos from, Nanos to) { from_ = from, to_ = to; }
   // Stretches so far that were no good block.
-  std::size_t damaged() const { return damaged_; }
+  std::size_t corrupt_stretches() const { return corrupt_stretches_; }
 
  private:
-  FileHead head_;
+  FileHeader header_;
   Nanos from_ = Nanos::min(), to_ = Nanos::max();
   std::string_view rest_;
-  std::size_t damaged_ = 0;
+  std::size_t corrupt_stretches_ = 0;
 };
 
 }  // namespace ospreypost::record
--- a/src/record/edit.cpp
+++ b/src/record/edit.cpp
@@ -40,40 +40,42 @@
 }
 
 // A visitor that knows what time of the record an entry has.
-class Timed : public Visitor {
+class Timed : public RecordVisitor {
  public:
-  void file(const FileHead& head) override {
-    if (!first_) first_ = head.wall;
-    head_ = head;
+  void on_file(const FileHeader& head) override {
+    if (!first_) first_ = head.wall_time;
+    header_ = head;
   }
 
  protected:
-  Nanos time_of(const Entry& entry) const { return Nanos(entry.at()) - head_.at + head_.wall - *first_; }
-  FileHead head_;
+  Nanos time_of(const Entry& entry) const {
+    return Nanos(entry.at()) - header_.clock_time + header_.wall_time - *first_;
+  }
+  FileHeader header_;
 
  private:
   std::optional<Nanos> first_;
 };
 
-class Counting : public Visitor {
+class Counting : public RecordVisitor {
  public:
-  explicit Counting(Contents& contents) : contents_(contents) {}
-  void entry(const Entry& entry) override {
-    ++contents_.calls[word_of(entry, "call")];
-    contents_.lives += entry.call_case() == Entry::kBegin;
-    for (const auto& order : entry.orders()) ++contents_.orders[word_of(order, "what")];
+  explicit Counting(RecordSummary& contents) : contents_(contents) {}
+  void on_entry(const Entry& entry) override {
+    ++contents_.events[word_of(entry, "call")];
+    contents_.incarnations += entry.call_case() == Entry::kBegin;
+    for (const auto& order : entry.orders()) ++contents_.actions[word_of(order, "what")];
   }
-  void gap(std::uint64_t) override {}
+  void on_gap(std::uint64_t) override {}
 
  private:
-  Contents& contents_;
+  RecordSummary& contents_;
 };
 
 class Dumping : public Timed {
  public:
-  Dumping(const Window& window, bool json, const std::function<void(Nanos, const std::string&)>& write)
+  Dumping(const TimeWindow& window, bool json, const std::function<void(Nanos, const std::string&)>& write)
       : window_(window), json_(json), write_(write) {}
-  void entry(const Entry& entry) override {
+  void on_entry(const Entry& entry) override {
     const Nanos at = time_of(entry);
     if (at < window_.from || at > window_.to) return;
     std::string line;
@@ -84,57 +86,59 @@
     }
     write_(at, line);
   }
-  void gap(std::uint64_t lost) override { write_({}, "gap: " + std::to_string(lost) + " entries missing"); }
+  void on_gap(std::uint64_t lost) override {
+    write_({}, "gap: " + std::to_string(lost) + " entries missing");
+  }
 
  private:
-  const Window& window_;
+  const TimeWindow& window_;
   const bool json_;
   const std::function<void(Nanos, const std::string&)>& write_;
 };
 
 class Cutting : public Timed {
  public:
-  Cutting(const Window& window, Copy& copy) : window_(window), copy_(copy) {}
-  void file(const FileHead& head) override {
-    Timed::file(head);
-    copy_.file(head);
+  Cutting(const TimeWindow& window, RecordCopier& copy) : window_(window), copy_(copy) {}
+  void on_file(const FileHeader& head) override {
+    Timed::on_file(head);
+    copy_.begin_file(head);
   }
-  void entry(const Entry& entry) override {
+  void on_entry(const Entry& entry) override {
     const Nanos at = time_of(entry);
     const auto call = entry.call_case();
     const bool stands = call == Entry::kBegin || call == Entry::kNamed || call == Entry::kListReceived ||
                         call == Entry::kProxyJoined || call == Entry::kProxyLeft;
-    if ((at >= window_.from && at <= window_.to) || (at < window_.from && stands)) return copy_.entry(entry);
-    copy_.lost(1);
+    if ((at >= window_.from && at <= window_.to) || (at < window_.from && stands)) return copy_.append(entry);
+    copy_.mark_lost(1);
     ++left_out;
   }
-  void gap(std::uint64_t lost) override { copy_.lost(std::max<std::uint64_t>(lost, 1)); }
+  void on_gap(std::uint64_t lost) override { copy_.mark_lost(std::max<std::uint64_t>(lost, 1)); }
   std::uint64_t left_out = 0;
 
  private:
-  const Window& window_;
-  Copy& copy_;
+  const TimeWindow& window_;
+  RecordCopier& copy_;
 };
 
 }  // namespace
 
-Contents look_into(const std::vector<std::string>& files) {
-  Contents contents;
+RecordSummary summarize(const std::vector<std::string>& files) {
+  RecordSummary contents;
   Counting counting(contents);
   for (const auto& path : files) {
-    FileContents found;
+    FileSummary found;
     found.path = path;
-    found.damage = visit({path}, counting);
-    const auto text = bytes_of(path);
+    found.corruption = visit_record({path}, counting);
+    const auto text = read_file(path);
     found.bytes = text.size();
-    Blocks blocks(text);
-    found.head = blocks.head();
+    BlockReader blocks(text);
+    found.header = blocks.header();
     std::optional<Nanos> first;
     while (const auto block = blocks.next()) {
-      if (!first) first = block->head.first;
-      found.length = block->head.last - *first;
+      if (!first) first = block->header.first;
+      found.length = block->header.last - *first;
       found.unpacked += block->payload.size();
-      found.entries += block->head.entries;
+      found.entries += block->header.entries;
       ++found.blocks;
     }
     contents.files.push_back(std::move(found));
@@ -142,23 +146,23 @@
   return contents;
 }
 
-void dump(const std::vector<std::string>& files, const Window& window, bool json,
+void dump(const std::vector<std::string>& files, const TimeWindow& window, bool json,
           const std::function<void(Nanos, const std::string&)>& write) {
   Dumping dumping(window, json, write);
-  visit(files, window, dumping);
+  visit_record(files, window, dumping);
 }
 
-Copy::Copy(std::string folder) : folder_(std::move(folder)) { need_empty(folder_); }
+RecordCopier::RecordCopier(std::string folder) : folder_(std::move(folder)) { need_empty(folder_); }
 
-Copy::~Copy() = default;
+RecordCopier::~RecordCopier() = default;
 
-void Copy::file(const FileHead& head) {
+void RecordCopier::begin_file(const FileHeader& head) {
   close();
-  head_ = head;
-  head_.schema = kSchema;
+  header_ = head;
+  header_.schema = kSchemaVersion;
 }
 
-void Copy::entry(const Entry& entry) {
+void RecordCopier::append(const Entry& entry) {
   if (block_.entries == 0) block_ = {0, std::exchange(lost_, 0), Nanos(entry.at()), {}};
   // What is missing is told by the head of the block after it.
   if (lost_ > 0) {
@@ -173,24 +177,25 @@
   if (payload_.size() >= kBlockBytes) close_block();
 }
 
-void Copy::close_block() {
+void RecordCopier::close_block() {
   if (block_.entries == 0) return;
-  text_ += pack(block_, payload_);
+  text_ += encode_block(block_, payload_);
   payload_.clear();
   block_ = {};
 }
 
-void Copy::close() {
+void RecordCopier::close() {
   close_block();
   if (text_.empty()) return;
-  put_file(fs::path(folder_) / file_name(head_.wall, head_.number),
-           file_head(head_) + std::exchange(text_, {}));
+  put_file(fs::path(folder_) / file_name(header_.wall_time, header_.number),
+           encode_file_header(header_) + std::exchange(text_, {}));
 }
 
-std::uint64_t cut(const std::vector<std::string>& files, const Window& window, const std::string& folder) {
-  Copy copy(folder);
+std::uint64_t cut(const std::vector<std::string>& files, const TimeWindow& window,
+                  const std::string& folder) {
+  RecordCopier copy(folder);
   Cutting cutting(window, copy);
-  visit(files, cutting);
+  visit_record(files, cutting);
   copy.close();
   return cutting.left_out;
 }
@@ -199,11 +204,11 @@
   need_empty(folder);
   std::uint32_t place = 0;
   for (const auto& path : files) {
-    const auto text = bytes_of(path);
-    auto head = Blocks(text).head();
+    const auto text = read_file(path);
+    auto head = BlockReader(text).header();
     // Of an older schema the name is all that tells its time.
-    const auto name =
-        head.wall == Nanos{} ? fs::path(path).filename().string() : file_name(head.wall, head.number);
+    const auto name = head.wall_time == Nanos{} ? fs::path(path).filename().string()
+                                                : file_name(head.wall_time, head.number);
     auto to = fs::path(folder) / name;
     if (fs::exists(to)) to.replace_filename(to.stem().string() + "-" + std::to_string(++place) + ".rec");
     put_file(to, text);
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -16,50 +16,51 @@
 
 namespace {
 
-constexpr std::size_t kMostHead = 64;  // bytes, more than any file's head
+constexpr std::size_t kMaxHeaderBytes = 64;  // bytes, more than any file's head
 
 // Before schema 2, and where the head is damaged, the time stands in the name alone.
-Nanos named_wall(const std::string& file) { return time_in_name(fs::path(file).stem().string()); }
+Nanos named_wall(const std::string& file) { return wall_time_of_name(fs::path(file).stem().string()); }
 
 // The head of a file, from its first bytes alone.
-FileHead head_of(const std::string& file) {
+FileHeader head_of(const std::string& file) {
   std::ifstream stream(file, std::ios::binary);
-  std::string text(kMostHead, '\0');
+  std::string text(kMaxHeaderBytes, '\0');
   if (!stream) throw net::Error("cannot read " + file);
   stream.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(stream.gcount()));
   try {
-    auto head = Blocks(text).head();
-    if (head.wall == Nanos{}) head.wall = named_wall(file);
+    auto head = BlockReader(text).header();
+    if (head.wall_time == Nanos{}) head.wall_time = named_wall(file);
     return head;
   } catch (const net::Error& error) {
     throw net::Error(file + ": " + error.what());
   }
 }
 
-FileHead whole_head(const std::string& file, const std::string& text) {
-  auto head = Blocks(text).head();
-  if (head.wall != Nanos{}) return head;
-  head.wall = named_wall(file);
-  Blocks blocks(text);
-  if (const auto block = blocks.next()) head.at = block->head.first;
+FileHeader whole_head(const std::string& file, const std::string& text) {
+  auto head = BlockReader(text).header();
+  if (head.wall_time != Nanos{}) return head;
+  head.wall_time = named_wall(file);
+  BlockReader blocks(text);
+  if (const auto block = blocks.next()) head.clock_time = block->header.first;
   return head;
 }
 
 struct Found {
-  FileHead head;
+  FileHeader header;
   std::string path, name;
 };
 
 bool same_text(const Found& a, const Found& b) {
-  if (a.head.wall != b.head.wall || a.head.number != b.head.number) return false;
+  if (a.header.wall_time != b.header.wall_time || a.header.number != b.header.number) return false;
   std::error_code error;
-  return fs::file_size(a.path, error) == fs::file_size(b.path, error) && bytes_of(a.path) == bytes_of(b.path);
+  return fs::file_size(a.path, error) == fs::file_size(b.path, error) &&
+         read_file(a.path) == read_file(b.path);
 }
 
 }  // namespace
 
-std::vector<std::string> files_of(const std::vector<std::string>& paths) {
+std::vector<std::string> list_files(const std::vector<std::string>& paths) {
   std::vector<Found> found;
   for (const auto& path : paths) {
     std::error_code error;
@@ -75,8 +76,8 @@
     if (found.size() == before) throw net::Error("there is no record in " + path);
   }
   std::sort(found.begin(), found.end(), [](const Found& a, const Found& b) {
-    return std::tie(a.head.wall, a.head.number, a.name, a.path) <
-           std::tie(b.head.wall, b.head.number, b.name, b.path);
+    return std::tie(a.header.wall_time, a.header.number, a.name, a.path) <
+           std::tie(b.header.wall_time, b.header.number, b.name, b.path);
   });
   found.erase(std::unique(found.begin(), found.end(), same_text), found.end());
   std::vector<std::string> files;
@@ -84,7 +85,7 @@
   return files;
 }
 
-std::string bytes_of(const std::string& file) {
+std::string read_file(const std::string& file) {
   std::ifstream stream(file, std::ios::binary);
   std::ostringstream text;
   if (!stream) throw net::Error("cannot read " + file);
@@ -97,47 +98,48 @@
 namespace {
 
 // The window on a file's own clock.
-Window local(const Window& window, const FileHead& first, const FileHead& head) {
-  const Nanos shift = head.at - (head.wall - first.wall);
+TimeWindow local(const TimeWindow& window, const FileHeader& first, const FileHeader& head) {
+  const Nanos shift = head.clock_time - (head.wall_time - first.wall_time);
   return {window.from + shift, window.to == Nanos::max() ? window.to : window.to + shift};
 }
 
 }  // namespace
 
-Corruption visit(const std::vector<std::string>& files, const Window& window, Visitor& visitor) {
-  Corruption damage;
+Corruption visit_record(const std::vector<std::string>& files, const TimeWindow& window,
+                        RecordVisitor& visitor) {
+  Corruption corruption;
   kept::Block block;
-  std::optional<FileHead> first;
+  std::optional<FileHeader> first;
   for (const auto& file : files) {
-    const auto whole = bytes_of(file);
-    Blocks blocks(whole);
+    const auto whole = read_file(file);
+    BlockReader blocks(whole);
     const auto head = whole_head(file, whole);
     if (!first) first = head;
-    visitor.file(head);
+    visitor.on_file(head);
     if (window.from > Nanos{} || window.to < Nanos::max()) {
       const auto here = local(window, *first, head);
-      blocks.only(here.from, here.to);
+      blocks.restrict_to(here.from, here.to);
     }
     std::size_t damaged = 0;
     while (const auto found = blocks.next()) {
-      if (found->head.lost > 0 || blocks.damaged() > damaged) visitor.gap(found->head.lost);
-      damaged = blocks.damaged();
-      damage.lost += found->head.lost;
+      if (found->header.lost > 0 || blocks.corrupt_stretches() > damaged) visitor.on_gap(found->header.lost);
+      damaged = blocks.corrupt_stretches();
+      corruption.lost_entries += found->header.lost;
       if (!block.ParseFromString(found->payload)) {
-        ++damage.damaged;
-        visitor.gap(0);
+        ++corruption.corrupt_stretches;
+        visitor.on_gap(0);
         continue;
       }
-      for (const auto& entry : block.entries()) visitor.entry(entry);
+      for (const auto& entry : block.entries()) visitor.on_entry(entry);
     }
     // What a death left unfinished at the end of a file is followed by another start, or by nothing.
-    damage.damaged += blocks.damaged();
+    corruption.corrupt_stretches += blocks.corrupt_stretches();
   }
-  return damage;
+  return corruption;
 }
 
-Corruption visit(const std::vector<std::string>& files, Visitor& visitor) {
-  return visit(files, {}, visitor);
+Corruption visit_record(const std::vector<std::string>& files, RecordVisitor& visitor) {
+  return visit_record(files, {}, visitor);
 }
 
 }  // namespace ospreypost::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -39,11 +39,11 @@
 
 void Writer::append(Nanos at, const std::string& entry) {
   const std::lock_guard held(lock_);
-  auto& head = gathering_.head;
+  auto& head = gathering_.header;
   if (head.entries == 0) {
     head.first = at;
     begun_ = net::Steady::now();
-    gathering_.wall = std::chrono::system_clock::now().time_since_epoch();
+    gathering_.wall_time = std::chrono::system_clock::now().time_since_epoch();
   }
   ++head.entries;
   ++counts_.entries;
@@ -54,12 +54,12 @@
 
 // With the lock held.
 void Writer::close_block() {
-  if (gathering_.head.entries == 0) return;
+  if (gathering_.header.entries == 0) return;
   if (waiting_.size() >= kMostWaiting) {
-    lost_ += gathering_.head.entries;
-    counts_.lost += gathering_.head.entries;
+    lost_ += gathering_.header.entries;
+    counts_.lost += gathering_.header.entries;
   } else {
-    gathering_.head.lost = std::exchange(lost_, 0);
+    gathering_.header.lost = std::exchange(lost_, 0);
     waiting_.push_back(std::move(gathering_));
     changed_.notify_one();
   }
@@ -70,7 +70,8 @@
   std::unique_lock held(lock_);
   for (;;) {
     changed_.wait_for(held, kBlockAge, [this] { return stopping_ || !waiting_.empty(); });
-    if (stopping_ || (gathering_.head.entries > 0 && net::Steady::now() - begun_ >= kBlockAge)) close_block();
+    if (stopping_ || (gathering_.header.entries > 0 && net::Steady::now() - begun_ >= kBlockAge))
+      close_block();
     if (waiting_.empty() && stopping_) return;
     while (!waiting_.empty()) {
       const auto block = std::move(waiting_.front());
@@ -86,15 +87,15 @@
   if (file_ >= 0) ::close(file_);
   // By the wall clock, so that files of several lives sort; numbered, as two may begin at one moment. A clock
   // that was set back must not put a later life before an earlier one.
-  auto wall = first.wall / 1ms;
+  auto wall = first.wall_time / 1ms;
   std::error_code ignored;
   for (const auto& entry : fs::directory_iterator(keeping_.folder, ignored)) {
     if (entry.path().extension() == ".rec")
-      wall =
-          std::max<long long>(wall, time_in_name(entry.path().stem().string()) / 1ms + (files_ == 0 ? 1 : 0));
+      wall = std::max<long long>(
+          wall, wall_time_of_name(entry.path().stem().string()) / 1ms + (files_ == 0 ? 1 : 0));
   }
-  head_ = {kSchema, std::max(first.wall, Nanos(wall * 1ms)), first.head.first,
-           static_cast<std::uint32_t>(files_)};
+  header_ = {kSchemaVersion, std::max(first.wall_time, Nanos(wall * 1ms)), first.header.first,
+             static_cast<std::uint32_t>(files_)};
   const auto name = file_name(Nanos(wall * 1ms), files_++);
   file_ = ::open((fs::path(keeping_.folder) / name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
   file_size_ = 0;
@@ -120,11 +121,11 @@
 
 void Writer::write(const Gathered& block) {
   if (step_) step_();
-  auto text = pack(block.head, block.payload);
+  auto text = encode_block(block.header, block.payload);
   if (file_ < 0 || file_size_ + text.size() > keeping_.file_bytes ||
       net::Steady::now() - opened_ >= keeping_.file_age) {
     open_file(block);
-    text = file_head(head_) + text;
+    text = encode_file_header(header_) + text;
   }
   std::size_t done = 0;
   while (file_ >= 0 && done < text.size()) {
@@ -142,8 +143,8 @@
   }
   // Half a block stays where it is: readers skip it. The next goes to a file of its own.
   ++counts_.failures;
-  counts_.lost += block.head.entries;
-  lost_ += block.head.entries + block.head.lost;
+  counts_.lost += block.header.entries;
+  lost_ += block.header.entries + block.header.lost;
   if (file_ >= 0) ::close(file_);
   file_ = -1;
 }
--- a/src/record/writer.h
+++ b/src/record/writer.h
@@ -39,8 +39,8 @@
 
  private:
   struct Gathered {
-    BlockHead head;
-    Nanos wall{};  // when its first entry was handed in
+    BlockHeader header;
+    Nanos wall_time{};  // when its first entry was handed in
     std::string payload;
   };
   void close_block();
@@ -61,7 +61,7 @@
   bool stopping_ = false;
   // The thread's own.
   int file_ = -1;
-  FileHead head_;  // of that file
+  FileHeader header_;  // of that file
   std::uint64_t file_size_ = 0, files_ = 0;
   net::Steady::time_point opened_;
   net::Thread thread_;
--- a/src/replay/anonymise.cpp
+++ b/src/replay/anonymise.cpp
@@ -24,20 +24,20 @@
   std::map<std::string, std::map<std::string, std::string>> words_;
 };
 
-class Anonymising : public record::Visitor {
+class Anonymising : public record::RecordVisitor {
  public:
-  explicit Anonymising(record::Copy& copy) : copy_(copy) {}
+  explicit Anonymising(record::RecordCopier& copy) : copy_(copy) {}
 
-  void file(const record::FileHead& head) override { copy_.file(head); }
-  void gap(std::uint64_t lost) override { copy_.lost(std::max<std::uint64_t>(lost, 1)); }
-  void entry(const kept::Entry& entry) override {
+  void on_file(const record::FileHeader& head) override { copy_.begin_file(head); }
+  void on_gap(std::uint64_t lost) override { copy_.mark_lost(std::max<std::uint64_t>(lost, 1)); }
+  void on_entry(const kept::Entry& entry) override {
     auto changed = entry;
     if (changed.has_begin()) {
       auto& begin = *changed.mutable_begin();
       begin.set_configuration(configuration(begin.configuration()));
     }
     if (changed.has_named()) changed.mutable_named()->set_name(words_("replica", changed.named().name()));
-    copy_.entry(changed);
+    copy_.append(changed);
   }
 
  private:
@@ -100,16 +100,16 @@
     return text;
   }
 
-  record::Copy& copy_;
+  record::RecordCopier& copy_;
   Words words_;
 };
 
 }  // namespace
 
 void anonymise(const std::vector<std::string>& files, const std::string& folder) {
-  record::Copy copy(folder);
+  record::RecordCopier copy(folder);
   Anonymising anonymising(copy);
-  record::visit(files, anonymising);
+  record::visit_record(files, anonymising);
   copy.close();
 }
 
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -61,10 +61,10 @@
 
 }  // namespace
 
-simulation::History HistoryReader::end(const record::Corruption& damage) {
+simulation::History HistoryReader::end(const record::Corruption& corruption) {
   if (history_.lives.empty()) throw net::Error("the record holds no start of a governor");
-  history_.lost = damage.lost;
-  history_.damaged = damage.damaged + absurd_;
+  history_.lost = corruption.lost_entries;
+  history_.damaged = corruption.corrupt_stretches + absurd_;
   for (std::size_t n = 0; n < names_.size(); ++n)
     history_.replicas.push_back(names_.name(ReplicaId{static_cast<std::uint32_t>(n)}));
   std::stable_sort(history_.reports.begin(), history_.reports.end(),
@@ -73,7 +73,7 @@
   return std::move(history_);
 }
 
-void HistoryReader::entry(const Entry& entry) {
+void HistoryReader::on_entry(const Entry& entry) {
   if (!is_sane(entry)) {
     ++absurd_;
     return;
@@ -204,8 +204,8 @@
 
 simulation::History read_history(const std::vector<std::string>& files) {
   HistoryReader reader;
-  const auto damage = record::visit(files, reader);
-  return reader.end(damage);
+  const auto corruption = record::visit_record(files, reader);
+  return reader.end(corruption);
 }
 
 }  // namespace ospreypost::replay
--- a/src/replay/history.h
+++ b/src/replay/history.h
@@ -13,12 +13,12 @@
 namespace ospreypost::replay {
 
 // Entry by entry, for whoever has them.
-class HistoryReader : public record::Visitor {
+class HistoryReader : public record::RecordVisitor {
  public:
-  void entry(const kept::Entry& entry) override;
-  void gap(std::uint64_t) override {}
+  void on_entry(const kept::Entry& entry) override;
+  void on_gap(std::uint64_t) override {}
   // Throws net::Error if no governor has started.
-  simulation::History end(const record::Corruption& damage);
+  simulation::History end(const record::Corruption& corruption);
 
  private:
   void begin(const kept::Entry& entry);
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -89,23 +89,23 @@
   return false;
 }
 
-class Replaying : private record::Visitor, private ActionSink {
+class Replaying : private record::RecordVisitor, private ActionSink {
  public:
   explicit Replaying(const Options& options) : options_(options) {}
 
   Outcome play(const std::vector<std::string>& files) {
-    const auto damage = record::visit(files, *this);
-    outcome_.lost = damage.lost;
-    outcome_.damaged = damage.damaged;
+    const auto corruption = record::visit_record(files, *this);
+    outcome_.lost = corruption.lost_entries;
+    outcome_.damaged = corruption.corrupt_stretches;
     outcome_.digest = digest_;
     return outcome_;
   }
 
  private:
   // The module would go on from a state that nobody knows.
-  void gap(std::uint64_t) override { governor_.reset(); }
+  void on_gap(std::uint64_t) override { governor_.reset(); }
 
-  void entry(const Entry& entry) override {
+  void on_entry(const Entry& entry) override {
     if (outcome_.calls == 0) outcome_.from = Nanos(entry.at());
     outcome_.to = Nanos(entry.at());
     ++outcome_.calls;
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -58,15 +58,15 @@
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"});
   live(place.in("a"), 100s, {"y", "x"});
-  const auto files = files_of({place.in("a")});
+  const auto files = list_files({place.in("a")});
   ASSERT_GT(files.size(), 1U);
   const auto digest = replay::replay(files, exact()).digest;
   auto reversed = std::vector<std::string>(files.rbegin(), files.rend());
-  EXPECT_EQ(files_of(reversed), files);
+  EXPECT_EQ(list_files(reversed), files);
   // Under another name the head still tells where it belongs.
   fs::copy_file(files.front(), place.in("zzz.rec"));
   reversed.push_back(place.in("zzz.rec"));
-  const auto once = files_of(reversed);
+  const auto once = list_files(reversed);
   EXPECT_EQ(once.size(), files.size());
   EXPECT_EQ(replay::replay(once, exact()).digest, digest);
 }
@@ -75,17 +75,17 @@
   RegisteredEndpoint place;
   fs::create_directories(place.in("a"));
   // A life whose file is named by a clock that ran years ahead.
-  Copy ahead(place.in("ahead"));
-  ahead.file({kSchemaVersion, Nanos(std::chrono::hours(24 * 365 * 70)), 1s, 0});
+  RecordCopier ahead(place.in("ahead"));
+  ahead.begin_file({kSchemaVersion, Nanos(std::chrono::hours(24 * 365 * 70)), 1s, 0});
   kept::Entry entry;
   entry.set_at(Nanos(1s).count());
   entry.mutable_begin()->set_configuration(test::small_config_text());
-  ahead.entry(entry);
+  ahead.append(entry);
   ahead.close();
-  const auto old = files_of({place.in("ahead")}).front();
+  const auto old = list_files({place.in("ahead")}).front();
   fs::copy_file(old, fs::path(place.in("a")) / fs::path(old).filename());
   live(place.in("a"), 5s, {"x"});
-  const auto files = files_of({place.in("a")});
+  const auto files = list_files({place.in("a")});
   ASSERT_GE(files.size(), 2U);
   EXPECT_EQ(fs::path(files.front()).filename(), fs::path(old).filename());
 }
@@ -95,7 +95,7 @@
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"});
   std::ofstream(place.in("a") + "/002000000000000-000000.rec");
-  const auto outcome = replay::replay(files_of({place.in("a")}), exact());
+  const auto outcome = replay::replay(list_files({place.in("a")}), exact());
   EXPECT_TRUE(outcome.same());
   EXPECT_EQ(outcome.damaged, 1U);
   EXPECT_EQ(outcome.unplayed, 0U);
@@ -105,12 +105,12 @@
 TEST(Files, TellOfADamagedHead) {
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"}, 2);
-  const auto whole = bytes_of(files_of({place.in("a")}).front());
+  const auto whole = read_file(list_files({place.in("a")}).front());
   const auto entries_in = [](const std::string& text, std::size_t& damaged) {
     BlockReader blocks(text);
     std::size_t entries = 0;
-    while (const auto block = blocks.next()) entries += block->head.entries;
-    damaged = blocks.damaged();
+    while (const auto block = blocks.next()) entries += block->header.entries;
+    damaged = blocks.corrupt_stretches();
     return entries;
   };
   std::size_t damaged = 0;
@@ -136,8 +136,8 @@
   live(place.in("a"), 5s, {"x", "y"}, 3);
   kept::Block all;
   std::string old("OSPREC\1\0", 8);
-  for (const auto& file : files_of({place.in("a")})) {
-    const auto text = bytes_of(file);
+  for (const auto& file : list_files({place.in("a")})) {
+    const auto text = read_file(file);
     BlockReader blocks(text);
     while (const auto block = blocks.next()) {
       kept::Block one;
@@ -147,12 +147,12 @@
         if (entry.has_replica_summed()) entry.mutable_replica_summed()->clear_late();
         if (entry.has_demand_summed()) entry.mutable_demand_summed()->clear_late();
       }
-      old += encode_block(block->head, one.SerializeAsString());
+      old += encode_block(block->header, one.SerializeAsString());
     }
   }
   const auto path = place.in("001796149725184-000000.rec");
   std::ofstream(path, std::ios::binary) << old;
-  const auto outcome = replay::replay(files_of({path}), exact());
+  const auto outcome = replay::replay(list_files({path}), exact());
   EXPECT_TRUE(outcome.same());
   EXPECT_EQ(outcome.unplayed, 0U);
   const auto history = replay::read_history({path});
@@ -165,7 +165,7 @@
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y", "z"});
   live(place.in("a"), 500s, {"z", "x"});
-  const auto history = replay::read_history(files_of({place.in("a")}));
+  const auto history = replay::read_history(list_files({place.in("a")}));
   EXPECT_EQ(history.lives.size(), 2U);
   EXPECT_EQ(history.replicas, (std::vector<std::string>{"x", "y", "z"}));
   ASSERT_EQ(history.reports.size(), 16U);
@@ -183,19 +183,19 @@
 TEST(Edit, CutsFromTheBeginningReplayAndOthersSayWhatIsMissing) {
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x", "y"});
-  const auto files = files_of({place.in("a")});
+  const auto files = list_files({place.in("a")});
   EXPECT_GT(cut(files, {0s, 4500ms}, place.in("head")), 0U);
-  const auto head = replay::replay(files_of({place.in("head")}), exact());
+  const auto head = replay::replay(list_files({place.in("head")}), exact());
   EXPECT_TRUE(head.same());
   EXPECT_EQ(head.unplayed, 0U);
-  EXPECT_EQ(replay::read_history(files_of({place.in("head")})).reports.size(), 4U);
+  EXPECT_EQ(replay::read_history(list_files({place.in("head")})).reports.size(), 4U);
 
   cut(files, {4500ms, Nanos::max()}, place.in("tail"));
-  const auto tail = replay::replay(files_of({place.in("tail")}), exact());
+  const auto tail = replay::replay(list_files({place.in("tail")}), exact());
   EXPECT_GT(tail.lost, 0U);
   EXPECT_GT(tail.unplayed, 0U);
   // Who there is, is still known.
-  const auto history = replay::read_history(files_of({place.in("tail")}));
+  const auto history = replay::read_history(list_files({place.in("tail")}));
   EXPECT_EQ(history.replicas.size(), 2U);
   EXPECT_EQ(history.memberships.size(), 1U);
   EXPECT_EQ(history.reports.size(), 4U);
@@ -206,10 +206,10 @@
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"x"});
   live(place.in("b"), 300s, {"x"});
-  const auto files = files_of({place.in("b"), place.in("a"), place.in("b")});
+  const auto files = list_files({place.in("b"), place.in("a"), place.in("b")});
   merge(files, place.in("both"));
   const auto apart = replay::replay(files, exact()),
-             together = replay::replay(files_of({place.in("both")}), exact());
+             together = replay::replay(list_files({place.in("both")}), exact());
   EXPECT_EQ(together.governors, 2U);
   EXPECT_EQ(together.digest, apart.digest);
 }
@@ -218,9 +218,9 @@
   RegisteredEndpoint place;
   live(place.in("a"), 5s, {"east-1", "secret-unit"});
   live(place.in("a"), 300s, {"secret-unit"});
-  const auto files = files_of({place.in("a")});
+  const auto files = list_files({place.in("a")});
   replay::anonymise(files, place.in("anonymous"));
-  const auto anonymous = files_of({place.in("anonymous")});
+  const auto anonymous = list_files({place.in("anonymous")});
   EXPECT_EQ(replay::replay(anonymous, exact()).digest, replay::replay(files, exact()).digest);
   std::string all;
   dump(anonymous, {}, false, [&](Nanos, const std::string& line) { all += line; });
@@ -237,7 +237,7 @@
   live(place.in("a"), 5s, {"x", "y"}, 60);
   std::size_t lines = 0;
   Nanos first = Nanos::max(), last{};
-  dump(files_of({place.in("a")}), {20s, 30s}, true, [&](Nanos at, const std::string& line) {
+  dump(list_files({place.in("a")}), {20s, 30s}, true, [&](Nanos at, const std::string& line) {
     ++lines;
     first = std::min(first, at), last = std::max(last, at);
     EXPECT_EQ(line.front(), '{');
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -25,57 +25,58 @@
 
 // Three blocks of one entry each.
 std::string three_blocks() {
-  auto text = file_head();
+  auto text = encode_file_header();
   for (std::int64_t n = 1; n <= 3; ++n)
-    text += pack({1, 0, Nanos(n), Nanos(n)}, std::string(200, static_cast<char>('a' + n)));
+    text += encode_block({1, 0, Nanos(n), Nanos(n)}, std::string(200, static_cast<char>('a' + n)));
   return text;
 }
 
 std::vector<std::int64_t> found_in(const std::string& text, std::size_t& damaged) {
-  Blocks blocks(text);
+  BlockReader blocks(text);
   std::vector<std::int64_t> found;
-  while (const auto block = blocks.next()) found.push_back(block->head.first.count());
-  damaged = blocks.damaged();
+  while (const auto block = blocks.next()) found.push_back(block->header.first.count());
+  damaged = blocks.corrupt_stretches();
   return found;
 }
 
 // Cut anywhere: all whole blocks are there, and no other.
-TEST(Blocks, AreReadUpToTheLastGoodOneOfATornFile) {
+TEST(BlockReaderTest, AreReadUpToTheLastGoodOneOfATornFile) {
   const auto whole = three_blocks();
-  const auto block = (whole.size() - file_head().size()) / 3;
-  for (std::size_t size = file_head().size(); size <= whole.size(); ++size) {
+  const auto block = (whole.size() - encode_file_header().size()) / 3;
+  for (std::size_t size = encode_file_header().size(); size <= whole.size(); ++size) {
     std::size_t damaged = 0;
     const auto found = found_in(whole.substr(0, size), damaged);
-    EXPECT_EQ(found.size(), (size - file_head().size()) / block);
-    EXPECT_EQ(damaged, (size - file_head().size()) % block == 0 ? 0U : 1U);
+    EXPECT_EQ(found.size(), (size - encode_file_header().size()) / block);
+    EXPECT_EQ(damaged, (size - encode_file_header().size()) % block == 0 ? 0U : 1U);
   }
 }
 
 // Flipped anywhere: that block is skipped, told, and the others are there.
-TEST(Blocks, SkipWhatIsDamagedInTheMiddle) {
+TEST(BlockReaderTest, SkipWhatIsDamagedInTheMiddle) {
   const auto whole = three_blocks();
-  const auto block = (whole.size() - file_head().size()) / 3;
-  for (std::size_t at = file_head().size(); at < whole.size(); ++at) {
+  const auto block = (whole.size() - encode_file_header().size()) / 3;
+  for (std::size_t at = encode_file_header().size(); at < whole.size(); ++at) {
     auto flipped = whole;
     flipped[at] = static_cast<char>(flipped[at] ^ 0x10);
     std::size_t damaged = 0;
     auto expected = std::vector<std::int64_t>{1, 2, 3};
-    expected.erase(expected.begin() + static_cast<std::ptrdiff_t>((at - file_head().size()) / block));
+    expected.erase(expected.begin() +
+                   static_cast<std::ptrdiff_t>((at - encode_file_header().size()) / block));
     EXPECT_EQ(found_in(flipped, damaged), expected) << at;
     EXPECT_EQ(damaged, 1U);
   }
 }
 
-TEST(Blocks, OfANewerSchemaAreRefusedPlainly) {
+TEST(BlockReaderTest, OfANewerSchemaAreRefusedPlainly) {
   auto text = three_blocks();
-  text[6] = static_cast<char>(kSchema + 1);
+  text[6] = static_cast<char>(kSchemaVersion + 1);
   try {
-    Blocks blocks(text);
+    BlockReader blocks(text);
     FAIL();
   } catch (const net::Error& error) {
     EXPECT_STREQ(error.what(), "the record is of schema 3; this program reads up to 2");
   }
-  EXPECT_THROW(Blocks("<governor/>"), net::Error);
+  EXPECT_THROW(BlockReader("<governor/>"), net::Error);
   std::size_t damaged = 0;
   EXPECT_TRUE(found_in("", damaged).empty());
   EXPECT_EQ(damaged, 1U);
@@ -98,10 +99,10 @@
     told = writer.counts().lost;
   }
   std::uint64_t kept = 0, lost = 0;
-  for (const auto& file : record::files_of({place.path.string()})) {
-    const auto text = bytes_of(file);
-    Blocks blocks(text);
-    while (const auto block = blocks.next()) kept += block->head.entries, lost += block->head.lost;
+  for (const auto& file : record::list_files({place.path.string()})) {
+    const auto text = read_file(file);
+    BlockReader blocks(text);
+    while (const auto block = blocks.next()) kept += block->header.entries, lost += block->header.lost;
   }
   EXPECT_GT(kept, 0U);
   EXPECT_EQ(kept + told, handed);
@@ -192,7 +193,7 @@
       }
     }
   }
-  const auto files = record::files_of({place.path.string()});
+  const auto files = record::list_files({place.path.string()});
   const auto outcome = replay::replay(files, exact());
   RC_ASSERT(outcome.same());
   RC_ASSERT(outcome.governors == 1U);
@@ -213,19 +214,20 @@
     Writer writer({(place.path / "w").string()});
     RecordingController tap(settings(), 5, Nanos(1), host, &writer, "x");
   }
-  const auto recorded = bytes_of(record::files_of({(place.path / "w").string()}).front());
-  Blocks blocks(recorded);
+  const auto recorded = read_file(record::list_files({(place.path / "w").string()}).front());
+  BlockReader blocks(recorded);
   kept::Block whole;
   ASSERT_TRUE(whole.ParseFromString(blocks.next()->payload));
   whole.mutable_entries(0)->add_orders()->set_probe(77);
   const auto framed = [&](std::uint64_t lost) {
-    return pack({1, lost, Nanos(1), Nanos(1)}, whole.SerializeAsString());
+    return encode_block({1, lost, Nanos(1), Nanos(1)}, whole.SerializeAsString());
   };
   kept::Block after;
   after.add_entries()->set_at(2);
   after.mutable_entries(0)->set_list_failed(true);
   std::ofstream(file, std::ios::binary)
-      << file_head() << framed(0) << pack({1, 9, Nanos(2), Nanos(2)}, after.SerializeAsString());
+      << encode_file_header() << framed(0)
+      << encode_block({1, 9, Nanos(2), Nanos(2)}, after.SerializeAsString());
   const auto outcome = replay::replay({file}, exact());
   EXPECT_EQ(outcome.differing, 1U);
   ASSERT_TRUE(outcome.first);
