--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -44,7 +44,7 @@
   const auto files = record::list_files({argv + 1, argv + argc});
   const auto contents = record::summarize(files);
   std::uint64_t bytes = 0, unpacked = 0, sums = 0, json = 0;
-  for (const auto& file : contents.files) bytes += file.bytes, unpacked += file.unpacked;
+  for (const auto& file : contents.files) bytes += file.bytes, unpacked += file.unpacked_bytes;
   for (const char* call : {"replica_summed", "demand_summed"}) {
     const auto known = contents.events.find(call);
     sums += known == contents.events.end() ? 0 : known->second;
@@ -56,12 +56,12 @@
     const auto config = config::parse_config(text, "recorded");
     return std::pair(config::module_settings(config), config.seed);
   };
-  replay::Outcome outcome;
+  replay::ReplayResult outcome;
   const double replaying = least_seconds_of([&] { outcome = replay::replay(files, options); });
   const double lived = std::chrono::duration<double>(outcome.to - outcome.from).count();
   std::printf("%.1f s lived, %llu calls, %llu sums; the same orders: %s\n", lived,
-              static_cast<unsigned long long>(outcome.calls), static_cast<unsigned long long>(sums),
-              outcome.same() ? "yes" : "no");
+              static_cast<unsigned long long>(outcome.events), static_cast<unsigned long long>(sums),
+              outcome.is_identical() ? "yes" : "no");
   std::printf("exact replay: %.0f times as fast as lived\n", lived / replaying);
 
   const auto per_hour = [&](std::uint64_t of) { return static_cast<double>(of) / lived * 3600 / 1048576; };
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -10,7 +10,7 @@
 #include "net/socket.h"
 #include "program/support.h"
 #include "record.pb.h"
-#include "replay/export_day.h"
+#include "replay/export_scenario.h"
 #include "simulation/simulated_day.h"
 #include "terms/deployment.h"
 
@@ -38,12 +38,12 @@
   reader.on_entry(begin);
   for (const auto& entry : block.entries()) reader.on_entry(entry);
   try {
-    const auto history = reader.end({});
+    const auto history = reader.finish({});
     const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
     for (const auto& replica : fleet.replicas) {
       if (!(replica.cores >= 1) || !(replica.slowness > 0)) std::abort();
     }
-    replay::export_day(history, deployment, fleet, config.kinds, "made", "g.xml");
+    replay::export_scenario(history, deployment, fleet, config.kinds, "made", "g.xml");
     std::uint64_t operations = 0;
     for (const auto& report : history.reports) {
       for (const auto& asked : report.asked) operations += asked.operations;
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -10,7 +10,7 @@
 #include "net/socket.h"
 #include "record/edit.h"
 #include "replay/anonymise.h"
-#include "replay/export_day.h"
+#include "replay/export_scenario.h"
 #include "replay/history.h"
 #include "scenario/scenario.h"
 #include "terms/deployment.h"
@@ -53,9 +53,9 @@
     json["files"].push_back({{"path", file.path},
                              {"schema", file.header.schema},
                              {"begun", date_of(file.header.wall_time)},
-                             {"seconds", seconds(file.length)},
+                             {"seconds", seconds(file.duration)},
                              {"bytes", file.bytes},
-                             {"unpacked", file.unpacked},
+                             {"unpacked", file.unpacked_bytes},
                              {"blocks", file.blocks},
                              {"entries", file.entries},
                              {"lost", file.corruption.lost_entries},
@@ -68,9 +68,9 @@
   for (const auto& file : contents.files) {
     std::printf("%s\n  schema %u, begun %s, %.1f s; %llu entries in %llu blocks, %llu bytes, %llu unpacked",
                 file.path.c_str(), file.header.schema, date_of(file.header.wall_time).c_str(),
-                seconds(file.length), static_cast<unsigned long long>(file.entries),
+                seconds(file.duration), static_cast<unsigned long long>(file.entries),
                 static_cast<unsigned long long>(file.blocks), static_cast<unsigned long long>(file.bytes),
-                static_cast<unsigned long long>(file.unpacked));
+                static_cast<unsigned long long>(file.unpacked_bytes));
     if (file.corruption.lost_entries + file.corruption.corrupt_stretches > 0) {
       std::printf("; partial: %llu entries were not kept, %llu stretches are damaged",
                   static_cast<unsigned long long>(file.corruption.lost_entries),
@@ -129,14 +129,14 @@
   try {
     const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
     const auto made =
-        replay::export_day(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
+        replay::export_scenario(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
     const auto day = (fs::path(options.out) / "day.xml").string();
     // What cannot be played is not written.
-    scenario::parse_script(made.day, day, options.out);
+    scenario::parse_script(made.scenario, day, options.out);
     std::error_code failed;
     fs::create_directories(options.out, failed);
     for (const auto& [name, text] :
-         {std::pair(day, &made.day),
+         {std::pair(day, &made.scenario),
           std::pair((fs::path(options.out) / "governor.xml").string(), &made.configuration)}) {
       if (fs::exists(name)) throw net::Error(name + " is there already");
       std::ofstream file(name, std::ios::binary);
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -26,28 +26,28 @@
   const auto print = [&](const replay::Difference& difference) {
     if (!begun) from = difference.at, begun = true;
     std::printf("call %llu, %.6f s after the first difference: %s\n  recorded: %s\n  replayed: %s\n",
-                static_cast<unsigned long long>(difference.call), seconds(difference.at - from),
-                difference.made_by.c_str(),
+                static_cast<unsigned long long>(difference.event_number), seconds(difference.at - from),
+                difference.event.c_str(),
                 difference.recorded.empty() ? "nothing" : difference.recorded.c_str(),
                 difference.replayed.empty() ? "nothing" : difference.replayed.c_str());
   };
-  if (options.all) playing.differs = print;
+  if (options.all) playing.on_difference = print;
   const auto outcome = replay::replay(record::list_files(options.records), playing);
-  if (outcome.first && !options.all) print(*outcome.first);
+  if (outcome.first_difference && !options.all) print(*outcome.first_difference);
   const auto count = [](std::uint64_t number) { return static_cast<unsigned long long>(number); };
-  std::printf("%llu calls on %llu governors over %.1f s, %llu orders, digest %016llx\n", count(outcome.calls),
-              count(outcome.governors), seconds(outcome.to - outcome.from), count(outcome.orders),
-              count(outcome.digest));
-  if (outcome.lost + outcome.damaged + outcome.unplayed > 0) {
+  std::printf("%llu calls on %llu governors over %.1f s, %llu orders, digest %016llx\n",
+              count(outcome.events), count(outcome.incarnations), seconds(outcome.to - outcome.from),
+              count(outcome.actions), count(outcome.digest));
+  if (outcome.lost_entries + outcome.corrupt_stretches + outcome.skipped_events > 0) {
     std::printf(
         "partial: %llu calls were not kept, %llu stretches are damaged, %llu calls after them not replayed\n",
-        count(outcome.lost), count(outcome.damaged), count(outcome.unplayed));
+        count(outcome.lost_entries), count(outcome.corrupt_stretches), count(outcome.skipped_events));
   }
-  if (outcome.same()) {
+  if (outcome.is_identical()) {
     std::printf("the orders are the same, byte for byte\n");
     return 0;
   }
-  std::printf("%llu orders differ\n", count(outcome.differing));
+  std::printf("%llu orders differ\n", count(outcome.differing_actions));
   return 3;
 }
 
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -65,7 +65,7 @@
 # Boost's distributions are headers: the same draws on any machine.
 ospreypost_package(simulation check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_day.cpp answer.cpp
   NEEDS ospreypost_routing_state ospreypost_client_ttl_policy ospreypost_checker)
-ospreypost_package(replay replay.cpp history.cpp anonymise.cpp export_day.cpp
+ospreypost_package(replay replay.cpp history.cpp anonymise.cpp export_scenario.cpp
   NEEDS ospreypost_record ospreypost_simulation ospreypost_config)
 ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_simulation ospreypost_net)
 ospreypost_package(terms limits.cpp deployment.cpp NEEDS ospreypost_config ospreypost_simulation)
--- a/src/record/edit.cpp
+++ b/src/record/edit.cpp
@@ -136,8 +136,8 @@
     std::optional<Nanos> first;
     while (const auto block = blocks.next()) {
       if (!first) first = block->header.first;
-      found.length = block->header.last - *first;
-      found.unpacked += block->payload.size();
+      found.duration = block->header.last - *first;
+      found.unpacked_bytes += block->payload.size();
       found.entries += block->header.entries;
       ++found.blocks;
     }
--- a/src/record/edit.h
+++ b/src/record/edit.h
@@ -14,9 +14,9 @@
 struct FileSummary {
   std::string path;
   FileHeader header;
-  std::uint64_t bytes = 0, unpacked = 0, blocks = 0, entries = 0;
+  std::uint64_t bytes = 0, unpacked_bytes = 0, blocks = 0, entries = 0;
   Corruption corruption;
-  Nanos length{};
+  Nanos duration{};
 };
 struct RecordSummary {
   std::vector<FileSummary> files;
--- a/src/replay/export_day.cpp
+++ b/src/replay/export_scenario.cpp
@@ -1,4 +1,4 @@
-#include "replay/export_day.h"
+#include "replay/export_scenario.h"
 
 #include <algorithm>
 #include <cmath>
@@ -343,9 +343,9 @@
 
 }  // namespace
 
-ExportedDay export_day(const simulation::History& history, const simulation::Deployment& deployment,
-                       const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
-                       const std::string& name, const std::string& governor) {
+ExportedScenario export_scenario(const simulation::History& history, const simulation::Deployment& deployment,
+                                 const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
+                                 const std::string& name, const std::string& governor) {
   return {Exporting(history, deployment, fleet, kinds).text(name, governor), history.configuration};
 }
 
--- a/src/replay/export_day.h
+++ b/src/replay/export_scenario.h
@@ -8,16 +8,16 @@
 
 namespace ospreypost::replay {
 
-struct ExportedDay {
-  std::string day;            // the day file
+struct ExportedScenario {
+  std::string scenario;       // the day file
   std::string configuration;  // that it names, to lie beside it
 };
 
 // `fleet` is the model fitted from the same record; `governor` the name of the configuration's file. What a
 // day cannot say is left out and named in the file's first lines. Throws std::invalid_argument if the record
 // is longer than a day file may be, or tells of no replica.
-ExportedDay export_day(const simulation::History& history, const simulation::Deployment& deployment,
-                       const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
-                       const std::string& name, const std::string& governor);
+ExportedScenario export_scenario(const simulation::History& history, const simulation::Deployment& deployment,
+                                 const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
+                                 const std::string& name, const std::string& governor);
 
 }  // namespace ospreypost::replay
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-simulation::History HistoryReader::end(const record::Corruption& corruption) {
+simulation::History HistoryReader::finish(const record::Corruption& corruption) {
   if (history_.lives.empty()) throw net::Error("the record holds no start of a governor");
   history_.lost = corruption.lost_entries;
   history_.damaged = corruption.corrupt_stretches + absurd_;
@@ -205,7 +205,7 @@
 simulation::History read_history(const std::vector<std::string>& files) {
   HistoryReader reader;
   const auto corruption = record::visit_record(files, reader);
-  return reader.end(corruption);
+  return reader.finish(corruption);
 }
 
 }  // namespace ospreypost::replay
--- a/src/replay/history.h
+++ b/src/replay/history.h
@@ -18,7 +18,7 @@
   void on_entry(const kept::Entry& entry) override;
   void on_gap(std::uint64_t) override {}
   // Throws net::Error if no governor has started.
-  simulation::History end(const record::Corruption& corruption);
+  simulation::History finish(const record::Corruption& corruption);
 
  private:
   void begin(const kept::Entry& entry);
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -93,10 +93,10 @@
  public:
   explicit Replaying(const Options& options) : options_(options) {}
 
-  Outcome play(const std::vector<std::string>& files) {
+  ReplayResult play(const std::vector<std::string>& files) {
     const auto corruption = record::visit_record(files, *this);
-    outcome_.lost = corruption.lost_entries;
-    outcome_.damaged = corruption.corrupt_stretches;
+    outcome_.lost_entries = corruption.lost_entries;
+    outcome_.corrupt_stretches = corruption.corrupt_stretches;
     outcome_.digest = digest_;
     return outcome_;
   }
@@ -106,17 +106,17 @@
   void on_gap(std::uint64_t) override { governor_.reset(); }
 
   void on_entry(const Entry& entry) override {
-    if (outcome_.calls == 0) outcome_.from = Nanos(entry.at());
+    if (outcome_.events == 0) outcome_.from = Nanos(entry.at());
     outcome_.to = Nanos(entry.at());
-    ++outcome_.calls;
+    ++outcome_.events;
     replayed_.clear_orders();
     if (entry.call_case() == Entry::kBegin) {
       const auto [settings, seed] = options_.settings_of(entry.begin().configuration());
       governor_ =
           std::make_unique<Controller>(settings, seed, Nanos(entry.at()), static_cast<ActionSink&>(*this));
-      ++outcome_.governors;
+      ++outcome_.incarnations;
     } else if (!governor_) {
-      ++outcome_.unplayed;
+      ++outcome_.skipped_events;
       return;
     } else if (!make(*governor_, entry)) {
       return;
@@ -133,23 +133,23 @@
       if (n < replayed_.orders_size()) {
         replayed_.orders(n).SerializeToString(&now);
         digest_ = XXH3_64bits_withSeed(now.data(), now.size(), digest_);
-        ++outcome_.orders;
+        ++outcome_.actions;
       }
       if (then == now) continue;
-      ++outcome_.differing;
-      if (outcome_.first && !options_.differs) continue;
+      ++outcome_.differing_actions;
+      if (outcome_.first_difference && !options_.on_difference) continue;
       auto call = entry;
       call.clear_orders();
-      const Difference difference{Nanos(entry.at()), outcome_.calls, call.ShortDebugString(),
+      const Difference difference{Nanos(entry.at()), outcome_.events, call.ShortDebugString(),
                                   n < entry.orders_size() ? entry.orders(n).ShortDebugString() : "",
                                   n < replayed_.orders_size() ? replayed_.orders(n).ShortDebugString() : ""};
-      if (!outcome_.first) outcome_.first = difference;
-      if (options_.differs) options_.differs(difference);
+      if (!outcome_.first_difference) outcome_.first_difference = difference;
+      if (options_.on_difference) options_.on_difference(difference);
     }
   }
 
   const Options& options_;
-  Outcome outcome_;
+  ReplayResult outcome_;
   Entry replayed_;  // the orders that are made now
   std::unique_ptr<Controller> governor_;
   std::uint64_t digest_ = 0;
@@ -157,7 +157,7 @@
 
 }  // namespace
 
-Outcome replay(const std::vector<std::string>& files, const Options& options) {
+ReplayResult replay(const std::vector<std::string>& files, const Options& options) {
   return Replaying(options).play(files);
 }
 
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -96,9 +96,9 @@
   live(place.in("a"), 5s, {"x"});
   std::ofstream(place.in("a") + "/002000000000000-000000.rec");
   const auto outcome = replay::replay(list_files({place.in("a")}), exact());
-  EXPECT_TRUE(outcome.same());
-  EXPECT_EQ(outcome.damaged, 1U);
-  EXPECT_EQ(outcome.unplayed, 0U);
+  EXPECT_TRUE(outcome.is_identical());
+  EXPECT_EQ(outcome.corrupt_stretches, 1U);
+  EXPECT_EQ(outcome.skipped_events, 0U);
 }
 
 // Any byte of a file's head: a plain message, or the blocks are all there and the damage is told.
@@ -153,8 +153,8 @@
   const auto path = place.in("001796149725184-000000.rec");
   std::ofstream(path, std::ios::binary) << old;
   const auto outcome = replay::replay(list_files({path}), exact());
-  EXPECT_TRUE(outcome.same());
-  EXPECT_EQ(outcome.unplayed, 0U);
+  EXPECT_TRUE(outcome.is_identical());
+  EXPECT_EQ(outcome.skipped_events, 0U);
   const auto history = replay::read_history({path});
   EXPECT_EQ(history.guessed, 6U);
   ASSERT_EQ(history.reports.size(), 3U);
@@ -186,14 +186,14 @@
   const auto files = list_files({place.in("a")});
   EXPECT_GT(cut(files, {0s, 4500ms}, place.in("head")), 0U);
   const auto head = replay::replay(list_files({place.in("head")}), exact());
-  EXPECT_TRUE(head.same());
-  EXPECT_EQ(head.unplayed, 0U);
+  EXPECT_TRUE(head.is_identical());
+  EXPECT_EQ(head.skipped_events, 0U);
   EXPECT_EQ(replay::read_history(list_files({place.in("head")})).reports.size(), 4U);
 
   cut(files, {4500ms, Nanos::max()}, place.in("tail"));
   const auto tail = replay::replay(list_files({place.in("tail")}), exact());
-  EXPECT_GT(tail.lost, 0U);
-  EXPECT_GT(tail.unplayed, 0U);
+  EXPECT_GT(tail.lost_entries, 0U);
+  EXPECT_GT(tail.skipped_events, 0U);
   // Who there is, is still known.
   const auto history = replay::read_history(list_files({place.in("tail")}));
   EXPECT_EQ(history.replicas.size(), 2U);
@@ -210,7 +210,7 @@
   merge(files, place.in("both"));
   const auto apart = replay::replay(files, exact()),
              together = replay::replay(list_files({place.in("both")}), exact());
-  EXPECT_EQ(together.governors, 2U);
+  EXPECT_EQ(together.incarnations, 2U);
   EXPECT_EQ(together.digest, apart.digest);
 }
 
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -195,9 +195,9 @@
   }
   const auto files = record::list_files({place.path.string()});
   const auto outcome = replay::replay(files, exact());
-  RC_ASSERT(outcome.same());
-  RC_ASSERT(outcome.governors == 1U);
-  RC_ASSERT(outcome.unplayed == 0U);
+  RC_ASSERT(outcome.is_identical());
+  RC_ASSERT(outcome.incarnations == 1U);
+  RC_ASSERT(outcome.skipped_events == 0U);
   RC_ASSERT(replay::replay(files, exact()).digest == outcome.digest);
 }
 
@@ -229,12 +229,12 @@
       << encode_file_header() << framed(0)
       << encode_block({1, 9, Nanos(2), Nanos(2)}, after.SerializeAsString());
   const auto outcome = replay::replay({file}, exact());
-  EXPECT_EQ(outcome.differing, 1U);
-  ASSERT_TRUE(outcome.first);
-  EXPECT_EQ(outcome.first->recorded, "probe: 77");
-  EXPECT_EQ(outcome.first->replayed, "");
-  EXPECT_EQ(outcome.lost, 9U);
-  EXPECT_EQ(outcome.unplayed, 1U);
+  EXPECT_EQ(outcome.differing_actions, 1U);
+  ASSERT_TRUE(outcome.first_difference);
+  EXPECT_EQ(outcome.first_difference->recorded, "probe: 77");
+  EXPECT_EQ(outcome.first_difference->replayed, "");
+  EXPECT_EQ(outcome.lost_entries, 9U);
+  EXPECT_EQ(outcome.skipped_events, 1U);
 }
 
 }  // namespace
--- a/tests/program/scenario_test.cpp
+++ b/tests/program/scenario_test.cpp
@@ -5,7 +5,7 @@
 
 #include "config/config.h"
 #include "program/support.h"
-#include "replay/export_day.h"
+#include "replay/export_scenario.h"
 #include "terms/deployment.h"
 
 namespace ospreypost::scenario {
@@ -124,8 +124,8 @@
   fleet.work = {0.1, 0.05};
   fleet.repeats = {0, 0};
   const auto made =
-      replay::export_day(history, terms::deployment_of(config), fleet, config.kinds, "made", "g.xml");
-  const auto script = parse_script(made.day, "made", "/nowhere");
+      replay::export_scenario(history, terms::deployment_of(config), fleet, config.kinds, "made", "g.xml");
+  const auto script = parse_script(made.scenario, "made", "/nowhere");
   check_names(script, config);
   EXPECT_EQ(made.configuration, config.text);
   EXPECT_EQ(script.length, 60s);
@@ -144,7 +144,7 @@
   history.length = 2h;
   simulation::Fleet fleet;
   fleet.replicas.resize(3);
-  EXPECT_THROW(replay::export_day(history, terms::deployment_of(config), fleet, {}, "made", "g.xml"),
+  EXPECT_THROW(replay::export_scenario(history, terms::deployment_of(config), fleet, {}, "made", "g.xml"),
                std::invalid_argument);
 }
 
