--- a/src/platform/stream_delivery.h
+++ b/src/platform/stream_delivery.h
@@ -33,7 +33,7 @@
   EndpointRegistry::Changes apply(const discovery::EndpointListUpdate& list);
   /// Takes over a new snapshot, if there is one, and then the acknowledgement requests made with it; each
   /// says whether all proxies are to answer it.
-  void on_published(const std::optional<routing_state::RoutingState::Published>& published,
+  void on_published(const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<std::pair<AckRequestId, bool>>& requests);
 
   void on_proxy_joined(ProxyId proxy);
