--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -17,7 +17,9 @@
 #include "control_plane/log_lines.h"
 #include "control_plane/push_proxies.h"
 #include "control_plane/status.h"
-#include "delivery/delivery_service.h"
+#include "delivery/endpoint_directory.h"
+#include "delivery/pull_service.h"
+#include "delivery/push_service.h"
 #include "discovery/endpoint_list.h"
 #include "dns/client_ttl_policy.h"
 #include "policy/actions.h"
@@ -79,7 +81,7 @@
   driver_.call([&](RecordingController& controller, RoutingState&, Nanos now) {
     const auto applied = endpoints_.apply(changes);
     for (const auto added : applied.added) {
-      controller.named(now, added, std::string(endpoints_.name_of(added)));
+      controller.on_replica_named(now, added, std::string(endpoints_.name_of(added)));
     }
     const auto kind = changes.is_first_list ? EndpointListKind::cached : EndpointListKind::changes;
     controller.on_endpoint_list(now, kind, applied.updates);
--- a/src/control_plane/endpoint_directory_keeper.cpp
+++ b/src/control_plane/endpoint_directory_keeper.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "delivery/delivery_service.h"
+#include "delivery/endpoint_directory.h"
 #include "discovery/endpoint_list.h"
 #include "policy/observations.h"
 #include "policy/types.h"
--- a/src/control_plane/published_state.h
+++ b/src/control_plane/published_state.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "delivery/delivery_service.h"
+#include "delivery/endpoint_directory.h"
 #include "routing_state/routing_snapshot.h"
 
 namespace ospreypost::control_plane {
--- a/src/control_plane/push_proxies.cpp
+++ b/src/control_plane/push_proxies.cpp
@@ -14,7 +14,7 @@
 
 #include "config/config.h"
 #include "control_plane/endpoint_directory_keeper.h"
-#include "delivery/delivery_service.h"
+#include "delivery/push_service.h"
 #include "policy/types.h"
 #include "routing_state/lease_table.h"
 #include "routing_state/pull_delivery.h"
--- a/src/control_plane/push_proxies.h
+++ b/src/control_plane/push_proxies.h
@@ -15,7 +15,7 @@
 #include "config/config.h"
 #include "control_plane/control_plane_host.h"
 #include "control_plane/published_state.h"
-#include "delivery/delivery_service.h"
+#include "delivery/push_service.h"
 #include "policy/types.h"
 #include "routing_state/lease_table.h"
 #include "routing_state/push_scheduler.h"
--- a/src/control_plane/status.h
+++ b/src/control_plane/status.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "delivery/delivery_service.h"
+#include "delivery/endpoint_directory.h"
 #include "load_reports/load_report_processor.h"
 #include "policy/settings.h"
 #include "policy/types.h"
--- a/tests/program/status_test.cpp
+++ b/tests/program/status_test.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "delivery/delivery_service.h"
+#include "delivery/endpoint_directory.h"
 #include "load_reports/load_report_processor.h"
 #include "policy/settings.h"
 #include "policy/types.h"
