--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -9,7 +9,8 @@
 #include "config/config.h"
 #include "net/socket.h"
 #include "record.pb.h"
-#include "record/edit.h"
+#include "record/dump.h"
+#include "record/summary.h"
 #include "replay/history.h"
 #include "replay/replay.h"
 #include "simulation/simulated_day.h"
@@ -52,9 +53,9 @@
   record::dump(files, {}, true, [&](Nanos, const std::string& line) { json += line.size() + 1; });
 
   replay::Options options;
-  options.settings_of = [](const std::string& text) {
+  options.load_config = [](const std::string& text) {
     const auto config = config::parse_config(text, "recorded");
-    return std::pair(config::module_settings(config), config.seed);
+    return replay::ControllerConfig{config::module_settings(config), config.seed};
   };
   replay::ReplayResult outcome;
   const double replaying = least_seconds_of([&] { outcome = replay::replay(files, options); });
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -8,7 +8,9 @@
 #include "cli/commands.h"
 #include "config/config.h"
 #include "net/socket.h"
+#include "record/dump.h"
 #include "record/edit.h"
+#include "record/summary.h"
 #include "replay/anonymise.h"
 #include "replay/export_scenario.h"
 #include "replay/history.h"
@@ -59,7 +61,7 @@
                              {"blocks", file.blocks},
                              {"entries", file.entries},
                              {"lost", file.corruption.lost_entries},
-                             {"damaged", file.corruption.corrupt_stretches}});
+                             {"damaged", file.corruption.corrupt_regions}});
   }
   return json;
 }
@@ -71,10 +73,10 @@
                 seconds(file.duration), static_cast<unsigned long long>(file.entries),
                 static_cast<unsigned long long>(file.blocks), static_cast<unsigned long long>(file.bytes),
                 static_cast<unsigned long long>(file.unpacked_bytes));
-    if (file.corruption.lost_entries + file.corruption.corrupt_stretches > 0) {
+    if (file.corruption.lost_entries + file.corruption.corrupt_regions > 0) {
       std::printf("; partial: %llu entries were not kept, %llu stretches are damaged",
                   static_cast<unsigned long long>(file.corruption.lost_entries),
-                  static_cast<unsigned long long>(file.corruption.corrupt_stretches));
+                  static_cast<unsigned long long>(file.corruption.corrupt_regions));
     }
     std::printf("\n");
   }
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -17,11 +17,11 @@
   replay::Options playing;
   Nanos from{};
   bool begun = false;
-  playing.settings_of = [&](const std::string& recorded) {
+  playing.load_config = [&](const std::string& recorded) {
     const auto config = options.orders_of.empty()
                             ? config::parse_config(recorded, "the recorded configuration")
                             : config::read_config(options.orders_of);
-    return std::pair(config::module_settings(config), config.seed);
+    return replay::ControllerConfig{config::module_settings(config), config.seed};
   };
   const auto print = [&](const replay::Difference& difference) {
     if (!begun) from = difference.at, begun = true;
@@ -38,10 +38,10 @@
   std::printf("%llu calls on %llu governors over %.1f s, %llu orders, digest %016llx\n",
               count(outcome.events), count(outcome.incarnations), seconds(outcome.to - outcome.from),
               count(outcome.actions), count(outcome.digest));
-  if (outcome.lost_entries + outcome.corrupt_stretches + outcome.skipped_events > 0) {
+  if (outcome.lost_entries + outcome.corrupt_regions + outcome.skipped_events > 0) {
     std::printf(
         "partial: %llu calls were not kept, %llu stretches are damaged, %llu calls after them not replayed\n",
-        count(outcome.lost_entries), count(outcome.corrupt_stretches), count(outcome.skipped_events));
+        count(outcome.lost_entries), count(outcome.corrupt_regions), count(outcome.skipped_events));
   }
   if (outcome.is_identical()) {
     std::printf("the orders are the same, byte for byte\n");
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -52,7 +52,8 @@
 target_compile_options(ospreypost_record_schema PRIVATE -w)
 target_include_directories(ospreypost_record_schema SYSTEM PUBLIC ${PROJECT_BINARY_DIR}/schemas)
 target_link_libraries(ospreypost_record_schema PUBLIC protobuf::libprotobuf)
-ospreypost_package(record blocks.cpp reader.cpp edit.cpp writer.cpp action_encoder.cpp recording_controller.cpp
+ospreypost_package(record file_name.cpp blocks.cpp reader.cpp writer.cpp event_encoder.cpp action_encoder.cpp
+  recording_controller.cpp output_folder.cpp record_copier.cpp timed_visitor.cpp summary.cpp dump.cpp edit.cpp
   NEEDS ospreypost_record_schema ospreypost_net ospreypost_policy PkgConfig::ZSTD PkgConfig::XXHASH)
 ospreypost_package(control_plane controller_driver.cpp log_lines.cpp control_plane.cpp status.cpp control_plane_server.cpp
   NEEDS ospreypost_routing_state ospreypost_discovery ospreypost_load_reports ospreypost_dns ospreypost_files
@@ -65,7 +66,8 @@
 # Boost's distributions are headers: the same draws on any machine.
 ospreypost_package(simulation check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_day.cpp answer.cpp
   NEEDS ospreypost_routing_state ospreypost_client_ttl_policy ospreypost_checker)
-ospreypost_package(replay replay.cpp history.cpp anonymise.cpp export_scenario.cpp
+ospreypost_package(replay event_decoder.cpp replay.cpp plausibility.cpp report_assembler.cpp history.cpp pseudonyms.cpp
+  anonymise.cpp scenario_xml.cpp replica_names.cpp replica_faults.cpp service_faults.cpp export_scenario.cpp
   NEEDS ospreypost_record ospreypost_simulation ospreypost_config)
 ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_simulation ospreypost_net)
 ospreypost_package(terms limits.cpp deployment.cpp NEEDS ospreypost_config ospreypost_simulation)
--- a/src/record/action_encoder.h
+++ b/src/record/action_encoder.h
@@ -1,4 +1,5 @@
-/// The controller's actions as a record keeps them: one function for all that write or compare records.
+/// The controller's actions in the form in which a record stores them: one function for all that write or
+/// compare records.
 #pragma once
 
 #include "policy/actions.h"
--- a/src/record/blocks.cpp
+++ b/src/record/blocks.cpp
@@ -3,142 +3,210 @@
 #include <xxhash.h>
 #include <zstd.h>
 
-#include <cstdio>
-#include <cstdlib>
-#include <cstring>
-#include <vector>
+#include <algorithm>
 
-#include "net/socket.h"
+#include "record/errors.h"
 
 namespace ospreypost::record {
 namespace {
 
-constexpr std::string_view kFile = "OSPREC", kBlock = "BLK1";
-constexpr std::size_t kFirstFileHeaderBytes = 8, kFileHeaderBytes = 36, kBlockHeaderBytes = 48;
-constexpr std::uint32_t kMaxPayloadBytes = 16U << 20;          // bytes; no block of ours comes near
-constexpr long long kMaxNameMilliseconds = 9'000'000'000'000;  // as nanoseconds they have to fit
-constexpr int kCompressionLevel = 1;                           // the cheapest: records repeat themselves
+constexpr std::string_view kFileMagic = "OSPREC";
+constexpr std::string_view kBlockMagic = "BLK1";
+constexpr std::size_t kFileHeaderBytesOfSchema1 = 8;
+constexpr std::size_t kFileHeaderBytes = 36;
+constexpr std::size_t kBlockHeaderBytes = 48;
+constexpr std::size_t kChecksumBytes = 8;
+// No block that was written comes near; a forged size must not take the memory.
+constexpr std::uint32_t kMaxPayloadBytes = 16U << 20;
+// The cheapest is enough: records repeat themselves.
+constexpr int kCompressionLevel = 1;
 
 template <typename Number>
-void put(std::string& text, Number number) {
-  for (std::size_t n = 0; n < sizeof(Number); ++n)
-    text += static_cast<char>(static_cast<std::uint64_t>(number) >> (8 * n));
+void append_number(std::string& text, Number number) {
+  for (std::size_t byte = 0; byte < sizeof(Number); ++byte)
+    text += static_cast<char>(static_cast<std::uint64_t>(number) >> (8 * byte));
 }
-template <typename Number>
-Number get(std::string_view text, std::size_t at) {
-  std::uint64_t number = 0;
-  for (std::size_t n = 0; n < sizeof(Number); ++n)
-    number |= static_cast<std::uint64_t>(static_cast<unsigned char>(text[at + n])) << (8 * n);
-  return static_cast<Number>(number);
+
+// Takes numbers from the front of a text, which must hold them.
+class NumberReader {
+ public:
+  explicit NumberReader(std::string_view text) : rest_(text) {}
+
+  template <typename Number>
+  Number take() {
+    std::uint64_t number = 0;
+    for (std::size_t byte = 0; byte < sizeof(Number); ++byte)
+      number |= static_cast<std::uint64_t>(static_cast<unsigned char>(rest_[byte])) << (8 * byte);
+    rest_.remove_prefix(sizeof(Number));
+    return static_cast<Number>(number);
+  }
+  Nanos take_time() { return Nanos(take<std::int64_t>()); }
+
+ private:
+  std::string_view rest_;
+};
+
+std::uint64_t checksum_of(std::string_view header, std::string_view stored) {
+  return XXH3_64bits_withSeed(stored.data(), stored.size(), XXH3_64bits(header.data(), header.size()));
 }
 
-std::uint64_t sum_of(std::string_view head, std::string_view stored) {
-  return XXH3_64bits_withSeed(stored.data(), stored.size(), XXH3_64bits(head.data(), head.size()));
+struct DecodedFileHeader {
+  FileHeader header;
+  std::size_t bytes = 0;
+  bool is_complete = true;
+  bool is_intact = true;
+};
+
+// The schema that the file states; the newest where the file ends before it.
+std::uint16_t decode_schema(std::string_view file) {
+  const std::string_view magic = file.substr(0, kFileMagic.size());
+  if (!kFileMagic.starts_with(magic))
+    throw FormatError("that is no record", std::string(kFileMagic), std::string(magic));
+  if (file.size() < kFileHeaderBytesOfSchema1) return kSchemaVersion;
+  const auto schema = NumberReader(file.substr(kFileMagic.size())).take<std::uint16_t>();
+  if (schema > kSchemaVersion) {
+    const std::string found = std::to_string(schema);
+    const std::string newest = std::to_string(kSchemaVersion);
+    throw FormatError("the record is of schema " + found + "; this program reads up to " + newest,
+                      "schema 1 to " + newest, "schema " + found);
+  }
+  return schema;
 }
 
-}  // namespace
+DecodedFileHeader decode_file_header(std::string_view file) {
+  DecodedFileHeader decoded;
+  decoded.header.schema = decode_schema(file);
+  decoded.bytes = decoded.header.schema < 2 ? kFileHeaderBytesOfSchema1 : kFileHeaderBytes;
+  if (file.size() < decoded.bytes) {
+    decoded.is_complete = false;
+    decoded.is_intact = false;
+    return decoded;
+  }
+  if (decoded.header.schema < 2) return decoded;
+  const std::string_view checked = file.substr(0, kFileHeaderBytes - kChecksumBytes);
+  const auto checksum = NumberReader(file.substr(checked.size())).take<std::uint64_t>();
+  decoded.is_intact = checksum == checksum_of(checked, {});
+  if (!decoded.is_intact) return decoded;
+  NumberReader numbers(checked.substr(kFileHeaderBytesOfSchema1));
+  decoded.header.wall_time = numbers.take_time();
+  decoded.header.clock_time = numbers.take_time();
+  decoded.header.number = numbers.take<std::uint32_t>();
+  return decoded;
+}
+
+// What stands where a block may begin; not known to be one before its checksum is compared.
+struct BlockCandidate {
+  BlockHeader header;
+  std::uint32_t stored_bytes = 0;
+  std::uint32_t payload_bytes = 0;
+  std::uint64_t checksum = 0;
+  std::string_view checked_header;
+  std::string_view stored;  // shorter than stated if the file ends before
+  std::string_view after;
+
+  std::size_t bytes() const { return kBlockHeaderBytes + stored_bytes; }
+};
 
-std::string file_name(Nanos wall, std::uint64_t number) {
-  char name[80];
-  std::snprintf(name, sizeof(name), "%015lld-%06llu.rec",
-                static_cast<long long>(wall / std::chrono::milliseconds(1)),
-                static_cast<unsigned long long>(number));
-  return name;
+std::optional<BlockCandidate> decode_candidate(std::string_view text) {
+  if (text.size() < kBlockHeaderBytes) return std::nullopt;
+  BlockCandidate candidate;
+  NumberReader numbers(text.substr(kBlockMagic.size()));
+  candidate.stored_bytes = numbers.take<std::uint32_t>();
+  candidate.payload_bytes = numbers.take<std::uint32_t>();
+  candidate.header.entries = numbers.take<std::uint32_t>();
+  candidate.header.lost_before = numbers.take<std::uint64_t>();
+  candidate.header.first = numbers.take_time();
+  candidate.header.last = numbers.take_time();
+  candidate.checksum = numbers.take<std::uint64_t>();
+  candidate.checked_header = text.substr(0, kBlockHeaderBytes - kChecksumBytes);
+  candidate.stored = text.substr(kBlockHeaderBytes, candidate.stored_bytes);
+  candidate.after = text.substr(kBlockHeaderBytes + candidate.stored.size());
+  return candidate;
 }
 
-Nanos wall_time_of_name(const std::string& stem) {
-  const long long milliseconds = std::atoll(stem.c_str());
-  return milliseconds < 0 || milliseconds > kMaxNameMilliseconds
-             ? Nanos{}
-             : Nanos(std::chrono::milliseconds(milliseconds));
+// Absent if the candidate is no intact block.
+std::optional<std::string> decode_payload(const BlockCandidate& candidate) {
+  if (candidate.stored.size() != candidate.stored_bytes) return std::nullopt;
+  if (candidate.payload_bytes > kMaxPayloadBytes) return std::nullopt;
+  if (checksum_of(candidate.checked_header, candidate.stored) != candidate.checksum) return std::nullopt;
+  std::string payload(candidate.payload_bytes, '\0');
+  const std::size_t decompressed =
+      ZSTD_decompress(payload.data(), payload.size(), candidate.stored.data(), candidate.stored.size());
+  if (decompressed != payload.size()) return std::nullopt;
+  return payload;
 }
 
-std::string encode_file_header(const FileHeader& head) {
-  std::string text(kFile);
-  put(text, head.schema);
-  put(text, head.wall_time.count());
-  put(text, head.clock_time.count());
-  put(text, head.number);
-  put(text, sum_of(text, {}));
+}  // namespace
+
+std::string encode_file_header(const FileHeader& header) {
+  std::string text(kFileMagic);
+  append_number(text, header.schema);
+  append_number(text, header.wall_time.count());
+  append_number(text, header.clock_time.count());
+  append_number(text, header.number);
+  append_number(text, checksum_of(text, {}));
   return text;
 }
 
-std::string encode_block(const BlockHeader& head, std::string_view payload) {
+std::string encode_block(const BlockHeader& header, std::string_view payload) {
   std::string stored(ZSTD_compressBound(payload.size()), '\0');
   stored.resize(
       ZSTD_compress(stored.data(), stored.size(), payload.data(), payload.size(), kCompressionLevel));
-  std::string text(kBlock);
-  put(text, static_cast<std::uint32_t>(stored.size()));
-  put(text, static_cast<std::uint32_t>(payload.size()));
-  put(text, head.entries);
-  put(text, head.lost);
-  put(text, head.first.count());
-  put(text, head.last.count());
-  put(text, sum_of(text, stored));
+  std::string text(kBlockMagic);
+  append_number(text, static_cast<std::uint32_t>(stored.size()));
+  append_number(text, static_cast<std::uint32_t>(payload.size()));
+  append_number(text, header.entries);
+  append_number(text, header.lost_before);
+  append_number(text, header.first.count());
+  append_number(text, header.last.count());
+  append_number(text, checksum_of(text, stored));
   return text + stored;
 }
 
 BlockReader::BlockReader(std::string_view file) : rest_(file) {
-  const bool ours = file.starts_with(kFile);
-  if (!ours && !kFile.starts_with(file)) throw net::Error("that is no record");
-  if (file.size() >= kFirstFileHeaderBytes) {
-    header_.schema = get<std::uint16_t>(file, kFile.size());
-    if (header_.schema > kSchemaVersion) {
-      throw net::Error("the record is of schema " + std::to_string(header_.schema) +
-                       "; this program reads up to " + std::to_string(kSchemaVersion));
-    }
-  }
-  const std::size_t size = header_.schema < 2 ? kFirstFileHeaderBytes : kFileHeaderBytes;
-  if (file.size() < size) {
-    // A disk that was full, or a death, before the head was written.
-    rest_ = {};
-    corrupt_stretches_ = 1;
-    return;
-  }
-  rest_.remove_prefix(size);
-  if (header_.schema < 2) return;
-  if (get<std::uint64_t>(file, kFileHeaderBytes - 8) != sum_of(file.substr(0, kFileHeaderBytes - 8), {})) {
-    // What the blocks say of themselves still holds.
-    corrupt_stretches_ = 1;
-    return;
-  }
-  header_.wall_time = Nanos(get<std::int64_t>(file, 8));
-  header_.clock_time = Nanos(get<std::int64_t>(file, 16));
-  header_.number = get<std::uint32_t>(file, 24);
+  const DecodedFileHeader decoded = decode_file_header(file);
+  header_ = decoded.header;
+  // A full disk, or a crash before the header was written, leaves it unfinished. Where it is complete but not
+  // intact, the blocks still hold what they say of themselves.
+  rest_.remove_prefix(decoded.is_complete ? decoded.bytes : file.size());
+  if (!decoded.is_intact) corrupt_regions_ = 1;
 }
 
-std::optional<BlockReader::Found> BlockReader::next() {
-  bool skipping = false;
+void BlockReader::restrict_to(Nanos from, Nanos to) {
+  from_ = from;
+  to_ = to;
+}
+
+bool BlockReader::is_in_window(const BlockHeader& header) const {
+  return header.last >= from_ && header.first <= to_;
+}
+
+std::optional<BlockReader::Block> BlockReader::next() {
+  bool in_corrupt_region = false;
+  const auto skip_corrupt_bytes = [&](std::size_t bytes) {
+    if (!in_corrupt_region) ++corrupt_regions_;
+    in_corrupt_region = true;
+    rest_.remove_prefix(std::min(bytes, rest_.size()));
+  };
   while (!rest_.empty()) {
-    const auto at = rest_.find(kBlock);
-    if (at != 0 && !skipping) ++corrupt_stretches_, skipping = true;
-    if (at == std::string_view::npos) break;
-    rest_.remove_prefix(at);
-    Found found;
-    if (rest_.size() >= kBlockHeaderBytes) {
-      const auto stored_size = get<std::uint32_t>(rest_, 4), size = get<std::uint32_t>(rest_, 8);
-      found.header = {get<std::uint32_t>(rest_, 12), get<std::uint64_t>(rest_, 16),
-                      Nanos(get<std::int64_t>(rest_, 24)), Nanos(get<std::int64_t>(rest_, 32))};
-      const auto stored = rest_.substr(kBlockHeaderBytes, stored_size);
-      const bool aside = found.header.last < from_ || found.header.first > to_;
-      if (aside && !skipping && rest_.substr(stored.size() + kBlockHeaderBytes).starts_with(kBlock)) {
-        rest_.remove_prefix(kBlockHeaderBytes + stored_size);
-        continue;
-      }
-      const bool sound = stored.size() == stored_size && size <= kMaxPayloadBytes &&
-                         sum_of(rest_.substr(0, 40), stored) == get<std::uint64_t>(rest_, 40);
-      if (sound) {
-        found.payload.resize(size);
-        if (ZSTD_decompress(found.payload.data(), size, stored.data(), stored.size()) == size) {
-          rest_.remove_prefix(kBlockHeaderBytes + stored_size);
-          return found;
-        }
-      }
+    const std::size_t magic_offset = rest_.find(kBlockMagic);
+    if (magic_offset != 0) skip_corrupt_bytes(magic_offset);
+    const auto candidate = decode_candidate(rest_);
+    if (!candidate) {
+      skip_corrupt_bytes(1);
+      continue;
+    }
+    const bool leads_to_block = !in_corrupt_region && candidate->after.starts_with(kBlockMagic);
+    if (leads_to_block && !is_in_window(candidate->header)) {
+      rest_.remove_prefix(candidate->bytes());
+      continue;
+    }
+    if (auto payload = decode_payload(*candidate)) {
+      rest_.remove_prefix(candidate->bytes());
+      return Block{candidate->header, std::move(*payload)};
     }
-    if (!skipping) ++corrupt_stretches_, skipping = true;
-    rest_.remove_prefix(1);
+    skip_corrupt_bytes(1);
   }
-  rest_ = {};
   return std::nullopt;
 }
 
--- a/src/record/origin.h
+++ b/src/record/origin.h
@@ -1,14 +1,15 @@
-// Where a line of a report came from. The module is not told; a record keeps it, for whoever plays the day
-// again.
+/// Where a report came from.
 #pragma once
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::record {
 
+/// The sender of a report and its delay. The controller does not receive it; a record stores it for whoever
+/// plays the recorded time again.
 struct Origin {
   ProxyId proxy{};
-  Nanos late{};  // how much longer than the shortest seen from that proxy its way was; at least 0
+  Nanos late{};  ///< how much longer it travelled than the fastest report seen from that proxy; at least 0
 };
 
 }  // namespace ospreypost::record
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -7,133 +7,153 @@
 #include <sstream>
 #include <tuple>
 
-#include "net/socket.h"
 #include "record.pb.h"
+#include "record/errors.h"
+#include "record/file_name.h"
 
 namespace ospreypost::record {
+namespace {
 
 namespace fs = std::filesystem;
 
-namespace {
-
-constexpr std::size_t kMaxHeaderBytes = 64;  // bytes, more than any file's head
+// More than any file's header has.
+constexpr std::size_t kMaxHeaderBytes = 64;
 
-// Before schema 2, and where the head is damaged, the time stands in the name alone.
-Nanos named_wall(const std::string& file) { return wall_time_of_name(fs::path(file).stem().string()); }
+struct RecordFile {
+  FileHeader header;
+  std::string path;
+  std::string name;
+};
 
-// The head of a file, from its first bytes alone.
-FileHeader head_of(const std::string& file) {
-  std::ifstream stream(file, std::ios::binary);
+std::string read_file_start(const std::string& path) {
+  std::ifstream stream(path, std::ios::binary);
+  if (!stream) throw StorageError("cannot read " + path, path);
   std::string text(kMaxHeaderBytes, '\0');
-  if (!stream) throw net::Error("cannot read " + file);
   stream.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(stream.gcount()));
+  return text;
+}
+
+// Before schema 2, and where the header is corrupt, the time stands in the name alone.
+Nanos wall_time_of(const FileHeader& header, const std::string& path) {
+  if (header.wall_time != Nanos{}) return header.wall_time;
+  return wall_time_of_name(path).value_or(Nanos{});
+}
+
+RecordFile identify_file(const std::string& path) {
   try {
-    auto head = BlockReader(text).header();
-    if (head.wall_time == Nanos{}) head.wall_time = named_wall(file);
-    return head;
-  } catch (const net::Error& error) {
-    throw net::Error(file + ": " + error.what());
+    FileHeader header = BlockReader(read_file_start(path)).header();
+    header.wall_time = wall_time_of(header, path);
+    return {header, path, fs::path(path).filename().string()};
+  } catch (const FormatError& error) {
+    throw error.in_file(path);
+  }
+}
+
+void append_files_of_folder(const std::string& folder, std::vector<RecordFile>& files) {
+  const std::size_t files_before = files.size();
+  for (const auto& entry : fs::directory_iterator(folder)) {
+    if (entry.path().extension() == kFileExtension) files.push_back(identify_file(entry.path()));
   }
+  if (files.size() == files_before) throw StorageError("there is no record in " + folder, folder);
+}
+
+bool is_earlier(const RecordFile& left, const RecordFile& right) {
+  return std::tie(left.header.wall_time, left.header.number, left.name, left.path) <
+         std::tie(right.header.wall_time, right.header.number, right.name, right.path);
+}
+
+bool has_same_contents(const RecordFile& left, const RecordFile& right) {
+  if (left.header.wall_time != right.header.wall_time) return false;
+  if (left.header.number != right.header.number) return false;
+  std::error_code ignored;
+  return fs::file_size(left.path, ignored) == fs::file_size(right.path, ignored) &&
+         read_file(left.path) == read_file(right.path);
 }
 
-FileHeader whole_head(const std::string& file, const std::string& text) {
-  auto head = BlockReader(text).header();
-  if (head.wall_time != Nanos{}) return head;
-  head.wall_time = named_wall(file);
+// The file's header; what it does not tell is taken from the name and the first block.
+FileHeader complete_header(const std::string& path, const std::string& text) {
   BlockReader blocks(text);
-  if (const auto block = blocks.next()) head.clock_time = block->header.first;
-  return head;
+  FileHeader header = blocks.header();
+  if (header.wall_time != Nanos{}) return header;
+  header.wall_time = wall_time_of(header, path);
+  if (const auto block = blocks.next()) header.clock_time = block->header.first;
+  return header;
 }
 
-struct Found {
-  FileHeader header;
-  std::string path, name;
-};
+// The window on the clock of a file's entries.
+TimeWindow on_file_clock(const TimeWindow& window, const FileHeader& first_file, const FileHeader& file) {
+  const Nanos offset = file.clock_time - (file.wall_time - first_file.wall_time);
+  const bool is_open_ended = window.to == Nanos::max();
+  return {window.from + offset, is_open_ended ? window.to : window.to + offset};
+}
 
-bool same_text(const Found& a, const Found& b) {
-  if (a.header.wall_time != b.header.wall_time || a.header.number != b.header.number) return false;
-  std::error_code error;
-  return fs::file_size(a.path, error) == fs::file_size(b.path, error) &&
-         read_file(a.path) == read_file(b.path);
+void visit_blocks(BlockReader& blocks, RecordVisitor& visitor, Corruption& corruption) {
+  kept::Block entries;
+  std::size_t corrupt_regions_before = 0;
+  while (const auto block = blocks.next()) {
+    const std::uint64_t lost_entries = block->header.lost_before;
+    const bool has_gap = lost_entries > 0 || blocks.corrupt_regions() > corrupt_regions_before;
+    if (has_gap) visitor.on_gap(lost_entries);
+    corrupt_regions_before = blocks.corrupt_regions();
+    corruption.lost_entries += lost_entries;
+    if (!entries.ParseFromString(block->payload)) {
+      ++corruption.corrupt_regions;
+      visitor.on_gap(0);
+      continue;
+    }
+    for (const auto& entry : entries.entries()) visitor.on_entry(entry);
+  }
+  // What a crash left unfinished at the end of a file is followed by another start, or by nothing: no gap.
+  corruption.corrupt_regions += blocks.corrupt_regions();
 }
 
 }  // namespace
 
 std::vector<std::string> list_files(const std::vector<std::string>& paths) {
-  std::vector<Found> found;
+  std::vector<RecordFile> files;
   for (const auto& path : paths) {
-    std::error_code error;
-    if (!fs::is_directory(path, error)) {
-      found.push_back({head_of(path), path, fs::path(path).filename().string()});
-      continue;
-    }
-    const auto before = found.size();
-    for (const auto& entry : fs::directory_iterator(path)) {
-      if (entry.path().extension() == ".rec")
-        found.push_back({head_of(entry.path()), entry.path(), entry.path().filename().string()});
+    std::error_code ignored;
+    if (fs::is_directory(path, ignored)) {
+      append_files_of_folder(path, files);
+    } else {
+      files.push_back(identify_file(path));
     }
-    if (found.size() == before) throw net::Error("there is no record in " + path);
   }
-  std::sort(found.begin(), found.end(), [](const Found& a, const Found& b) {
-    return std::tie(a.header.wall_time, a.header.number, a.name, a.path) <
-           std::tie(b.header.wall_time, b.header.number, b.name, b.path);
-  });
-  found.erase(std::unique(found.begin(), found.end(), same_text), found.end());
-  std::vector<std::string> files;
-  for (auto& file : found) files.push_back(std::move(file.path));
-  return files;
+  std::sort(files.begin(), files.end(), is_earlier);
+  files.erase(std::unique(files.begin(), files.end(), has_same_contents), files.end());
+  std::vector<std::string> sorted_paths;
+  sorted_paths.reserve(files.size());
+  for (auto& file : files) sorted_paths.push_back(std::move(file.path));
+  return sorted_paths;
 }
 
-std::string read_file(const std::string& file) {
-  std::ifstream stream(file, std::ios::binary);
+std::string read_file(const std::string& path) {
+  std::ifstream stream(path, std::ios::binary);
+  if (!stream) throw StorageError("cannot read " + path, path);
   std::ostringstream text;
-  if (!stream) throw net::Error("cannot read " + file);
   // Nothing to copy is no failure: a disk that was full leaves files without a byte.
   text << stream.rdbuf();
-  if (stream.bad()) throw net::Error("cannot read " + file);
+  if (stream.bad()) throw StorageError("cannot read " + path, path);
   return std::move(text).str();
 }
 
-namespace {
-
-// The window on a file's own clock.
-TimeWindow local(const TimeWindow& window, const FileHeader& first, const FileHeader& head) {
-  const Nanos shift = head.clock_time - (head.wall_time - first.wall_time);
-  return {window.from + shift, window.to == Nanos::max() ? window.to : window.to + shift};
-}
-
-}  // namespace
-
 Corruption visit_record(const std::vector<std::string>& files, const TimeWindow& window,
                         RecordVisitor& visitor) {
   Corruption corruption;
-  kept::Block block;
-  std::optional<FileHeader> first;
-  for (const auto& file : files) {
-    const auto whole = read_file(file);
-    BlockReader blocks(whole);
-    const auto head = whole_head(file, whole);
-    if (!first) first = head;
-    visitor.on_file(head);
-    if (window.from > Nanos{} || window.to < Nanos::max()) {
-      const auto here = local(window, *first, head);
-      blocks.restrict_to(here.from, here.to);
-    }
-    std::size_t damaged = 0;
-    while (const auto found = blocks.next()) {
-      if (found->header.lost > 0 || blocks.corrupt_stretches() > damaged) visitor.on_gap(found->header.lost);
-      damaged = blocks.corrupt_stretches();
-      corruption.lost_entries += found->header.lost;
-      if (!block.ParseFromString(found->payload)) {
-        ++corruption.corrupt_stretches;
-        visitor.on_gap(0);
-        continue;
-      }
-      for (const auto& entry : block.entries()) visitor.on_entry(entry);
+  std::optional<FileHeader> first_file;
+  const bool is_restricted = window.from > Nanos{} || window.to < Nanos::max();
+  for (const auto& path : files) {
+    const std::string text = read_file(path);
+    BlockReader blocks(text);
+    const FileHeader header = complete_header(path, text);
+    if (!first_file) first_file = header;
+    visitor.on_file(header);
+    if (is_restricted) {
+      const TimeWindow file_window = on_file_clock(window, *first_file, header);
+      blocks.restrict_to(file_window.from, file_window.to);
     }
-    // What a death left unfinished at the end of a file is followed by another start, or by nothing.
-    corruption.corrupt_stretches += blocks.corrupt_stretches();
+    visit_blocks(blocks, visitor, corruption);
   }
   return corruption;
 }
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -1,11 +1,13 @@
-// The one place where calls enter the module and its orders leave: has the module's own methods, and writes
-// down each call with the orders that it made. Decides nothing; with no writer it only passes on.
+/// A `Controller` whose events and actions are recorded.
 #pragma once
 
 #include <memory>
 #include <string>
+#include <string_view>
+#include <vector>
 
 #include "policy/controller.h"
+#include "record/events.h"
 #include "record/origin.h"
 
 namespace ospreypost::kept {
@@ -16,38 +18,44 @@
 
 class Writer;
 
+/// The one place where events enter the controller and its actions leave it. It has the controller's own
+/// methods, and stores each event with the actions that it led to; without a writer it only passes them on.
+/// It decides nothing. Not thread-safe.
 class RecordingController : private ActionSink {
  public:
-  // `configuration`: as the file gave it. `writer` may be null; else it must outlive this, as must the host.
-  RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& host,
+  /// `configuration` is the text of its file. `writer` may be null; it must outlive this, as must `actions`.
+  RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& actions,
                       Writer* writer, const std::string& configuration);
   ~RecordingController() override;
 
+  // As `Controller` has them; `origin` is for readers of the record.
+
   void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
   void on_endpoint_list_failed(Nanos now);
-  void on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_operations_per_second, bool fresh);
+  void on_proxy_joined(Nanos now, ProxyId proxy, ZoneId zone, double usual_requests_per_second, bool fresh);
   void on_proxy_left(Nanos now, ProxyId proxy);
-  void on_replica_load_report(Nanos now, const ReplicaLoadReport& sum, const Origin& origin);
-  void on_demand_report(Nanos now, const DemandReport& demand, const Origin& origin);
-  void on_acknowledged(Nanos now, ProxyId proxy, AckRequestId mark, Nanos took);
-  void on_health_check_result(Nanos now, const HealthCheckResult& answer);
+  void on_replica_load_report(Nanos now, const ReplicaLoadReport& report, const Origin& origin);
+  void on_demand_report(Nanos now, const DemandReport& report, const Origin& origin);
+  void on_acknowledged(Nanos now, ProxyId proxy, AckRequestId request, Nanos elapsed);
+  void on_health_check_result(Nanos now, const HealthCheckResult& result);
   void on_timer(Nanos now, TimerId timer);
   void on_peer_message(Nanos now, PeerId peer, std::string_view message);
-  // No call: what an id stands for, for those who read the record.
+
+  /// Tells readers of the record what an id stands for; the controller does not receive it.
   void on_replica_named(Nanos now, ReplicaId replica, const std::string& name);
 
  private:
   void on_action(const Action& action) override;
 
-  // Makes the call, with its entry open for the orders, and hands the entry on.
-  template <typename Fill, typename Make>
-  void call(Nanos now, Fill fill, Make make);
+  // Calls `handle` with an entry open for the actions that it leads to, and stores the entry.
+  template <typename Handler>
+  void record(Nanos now, const Event& event, Handler handle);
 
-  ActionSink& host_;
+  ActionSink& actions_;
   Writer* const writer_;
-  std::unique_ptr<kept::Entry> entry_;  // of the call being made
-  std::string text_;
-  std::unique_ptr<Controller> governor_;
+  std::unique_ptr<kept::Entry> entry_;  // of the event being handled
+  std::string serialized_entry_;        // kept for its memory
+  std::unique_ptr<Controller> controller_;
 };
 
 }  // namespace ospreypost::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -4,9 +4,13 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
+#include <filesystem>
+#include <utility>
 #include <vector>
 
-#include "net/socket.h"
+#include "record/errors.h"
+#include "record/file_name.h"
 
 namespace ospreypost::record {
 namespace {
@@ -14,153 +18,194 @@
 namespace fs = std::filesystem;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kBlockBytes = 64 * 1024;
-constexpr auto kBlockAge = 200ms;
-constexpr std::size_t kMostWaiting = 64;  // blocks
-
-// One field 1 of a Block, as the format of protocol buffers has it: tag, length, bytes.
-void put_entry(std::string& payload, const std::string& entry) {
-  payload += '\x0a';
-  auto size = entry.size();
-  for (; size >= 0x80; size >>= 7) payload += static_cast<char>(size | 0x80);
-  payload += static_cast<char>(size);
+constexpr auto kMaxBlockAge = 200ms;
+constexpr std::size_t kMaxWaitingBlocks = 64;
+
+// Appends field 1 of a kept::Block, in the wire format of protocol buffers: tag, length, bytes.
+void append_entry_field(std::string& payload, const std::string& entry) {
+  constexpr char kTag = '\x0a';
+  constexpr std::size_t kContinuation = 0x80;
+  payload += kTag;
+  std::size_t length = entry.size();
+  while (length >= kContinuation) {
+    payload += static_cast<char>(length | kContinuation);
+    length >>= 7;
+  }
+  payload += static_cast<char>(length);
   payload += entry;
 }
 
+struct StoredFile {
+  fs::path path;
+  std::uint64_t bytes = 0;
+};
+
+std::vector<StoredFile> files_by_name(const std::string& folder) {
+  std::vector<StoredFile> files;
+  std::error_code ignored;
+  for (const auto& entry : fs::directory_iterator(folder, ignored)) {
+    if (entry.path().extension() == kFileExtension) files.push_back({entry.path(), entry.file_size(ignored)});
+  }
+  std::sort(files.begin(), files.end(),
+            [](const StoredFile& left, const StoredFile& right) { return left.path < right.path; });
+  return files;
+}
+
 }  // namespace
 
-Writer::Writer(RetentionPolicy keeping, std::function<void()> step)
-    : keeping_(std::move(keeping)), step_(std::move(step)) {
+Writer::Writer(RetentionPolicy retention, std::function<void()> before_write)
+    : retention_(std::move(retention)), before_write_(std::move(before_write)) {
   std::error_code error;
-  fs::create_directories(keeping_.folder, error);
-  if (error) throw net::Error("the record's folder " + keeping_.folder + ": " + error.message());
-  thread_ = net::Thread("record", [this] { work(); });
+  fs::create_directories(retention_.folder, error);
+  if (error) {
+    throw StorageError("the record's folder " + retention_.folder + ": " + error.message(),
+                       retention_.folder);
+  }
+  thread_ = net::Thread("record", [this] { run(); });
 }
 
-void Writer::append(Nanos at, const std::string& entry) {
-  const std::lock_guard held(lock_);
-  auto& head = gathering_.header;
-  if (head.entries == 0) {
-    head.first = at;
-    begun_ = net::Steady::now();
-    gathering_.wall_time = std::chrono::system_clock::now().time_since_epoch();
+void Writer::append(Nanos time, const std::string& entry) {
+  const std::scoped_lock lock(mutex_);
+  BlockHeader& header = gathered_.header;
+  if (header.entries == 0) {
+    header.first = time;
+    gathered_since_ = net::Steady::now();
+    gathered_.wall_time = std::chrono::system_clock::now().time_since_epoch();
   }
-  ++head.entries;
+  ++header.entries;
   ++counts_.entries;
-  head.last = at;
-  put_entry(gathering_.payload, entry);
-  if (gathering_.payload.size() >= kBlockBytes) close_block();
+  header.last = time;
+  append_entry_field(gathered_.payload, entry);
+  if (gathered_.payload.size() >= kTargetPayloadBytes) close_block_locked();
 }
 
-// With the lock held.
-void Writer::close_block() {
-  if (gathering_.header.entries == 0) return;
-  if (waiting_.size() >= kMostWaiting) {
-    lost_ += gathering_.header.entries;
-    counts_.lost += gathering_.header.entries;
+// With mutex_ held.
+void Writer::close_block_locked() {
+  if (gathered_.header.entries == 0) return;
+  if (waiting_.size() >= kMaxWaitingBlocks) {
+    lost_since_stored_ += gathered_.header.entries;
+    counts_.lost += gathered_.header.entries;
   } else {
-    gathering_.header.lost = std::exchange(lost_, 0);
-    waiting_.push_back(std::move(gathering_));
+    gathered_.header.lost_before = std::exchange(lost_since_stored_, 0);
+    waiting_.push_back(std::move(gathered_));
     changed_.notify_one();
   }
-  gathering_ = {};
+  gathered_ = {};
 }
 
-void Writer::work() {
-  std::unique_lock held(lock_);
+void Writer::run() {
+  std::unique_lock lock(mutex_);
   for (;;) {
-    changed_.wait_for(held, kBlockAge, [this] { return stopping_ || !waiting_.empty(); });
-    if (stopping_ || (gathering_.header.entries > 0 && net::Steady::now() - begun_ >= kBlockAge))
-      close_block();
+    changed_.wait_for(lock, kMaxBlockAge, [this] { return stopping_ || !waiting_.empty(); });
+    const bool is_due = gathered_.header.entries > 0 && net::Steady::now() - gathered_since_ >= kMaxBlockAge;
+    if (stopping_ || is_due) close_block_locked();
     if (waiting_.empty() && stopping_) return;
     while (!waiting_.empty()) {
-      const auto block = std::move(waiting_.front());
+      const PendingBlock block = std::move(waiting_.front());
       waiting_.pop_front();
-      held.unlock();
-      write(block);
-      held.lock();
+      lock.unlock();
+      write_block(block);
+      lock.lock();
     }
   }
 }
 
-void Writer::open_file(const Gathered& first) {
-  if (file_ >= 0) ::close(file_);
-  // By the wall clock, so that files of several lives sort; numbered, as two may begin at one moment. A clock
-  // that was set back must not put a later life before an earlier one.
-  auto wall = first.wall_time / 1ms;
-  std::error_code ignored;
-  for (const auto& entry : fs::directory_iterator(keeping_.folder, ignored)) {
-    if (entry.path().extension() == ".rec")
-      wall = std::max<long long>(
-          wall, wall_time_of_name(entry.path().stem().string()) / 1ms + (files_ == 0 ? 1 : 0));
+void Writer::write_block(const PendingBlock& block) {
+  if (before_write_) before_write_();
+  std::string text = encode_block(block.header, block.payload);
+  const bool needs_file = file_ < 0 || file_bytes_ + text.size() > retention_.max_file_bytes ||
+                          net::Steady::now() - file_opened_ >= retention_.max_file_age;
+  if (needs_file) {
+    begin_file(block);
+    text.insert(0, encode_file_header(file_header_));
   }
-  header_ = {kSchemaVersion, std::max(first.wall_time, Nanos(wall * 1ms)), first.header.first,
-             static_cast<std::uint32_t>(files_)};
-  const auto name = file_name(Nanos(wall * 1ms), files_++);
-  file_ = ::open((fs::path(keeping_.folder) / name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
-  file_size_ = 0;
-  opened_ = net::Steady::now();
-  prune();
+  const std::size_t written_bytes = write_bytes(text);
+  file_bytes_ += written_bytes;
+  const bool succeeded = written_bytes == text.size();
+  note_result(block, written_bytes, succeeded);
+  // Half a block stays where it is: readers skip it. The next goes to a file of its own.
+  if (!succeeded) close_file();
 }
 
-void Writer::prune() {
-  std::vector<std::pair<fs::path, std::uint64_t>> files;
-  std::uint64_t total = keeping_.file_bytes;  // the one that begins may grow to that
-  std::error_code ignored;
-  for (const auto& entry : fs::directory_iterator(keeping_.folder, ignored)) {
-    if (entry.path().extension() != ".rec") continue;
-    files.emplace_back(entry.path(), entry.file_size(ignored));
-    total += files.back().second;
-  }
-  std::sort(files.begin(), files.end());
-  for (std::size_t n = 0; n + 1 < files.size() && total > keeping_.most_bytes; ++n) {
-    fs::remove(files[n].first, ignored);
-    total -= files[n].second;
+void Writer::note_result(const PendingBlock& block, std::size_t written_bytes, bool succeeded) {
+  const std::scoped_lock lock(mutex_);
+  counts_.bytes += written_bytes;
+  if (succeeded) {
+    ++counts_.blocks;
+    return;
   }
+  ++counts_.failures;
+  counts_.lost += block.header.entries;
+  lost_since_stored_ += block.header.entries + block.header.lost_before;
 }
 
-void Writer::write(const Gathered& block) {
-  if (step_) step_();
-  auto text = encode_block(block.header, block.payload);
-  if (file_ < 0 || file_size_ + text.size() > keeping_.file_bytes ||
-      net::Steady::now() - opened_ >= keeping_.file_age) {
-    open_file(block);
-    text = encode_file_header(header_) + text;
+// How many bytes the system took; fewer than given on an error, none where no file is open.
+std::size_t Writer::write_bytes(const std::string& text) const {
+  std::size_t written = 0;
+  while (file_ >= 0 && written < text.size()) {
+    const auto taken = ::write(file_, text.data() + written, text.size() - written);
+    if (taken < 0 && errno == EINTR) continue;
+    if (taken <= 0) break;
+    written += static_cast<std::size_t>(taken);
   }
-  std::size_t done = 0;
-  while (file_ >= 0 && done < text.size()) {
-    const auto put = ::write(file_, text.data() + done, text.size() - done);
-    if (put < 0 && errno == EINTR) continue;
-    if (put <= 0) break;
-    done += static_cast<std::size_t>(put);
+  return written;
+}
+
+void Writer::begin_file(const PendingBlock& first_block) {
+  close_file();
+  const Nanos name_time = next_file_time(first_block.wall_time);
+  file_header_ = {kSchemaVersion, std::max(first_block.wall_time, name_time), first_block.header.first,
+                  files_begun_};
+  const fs::path path = fs::path(retention_.folder) / encode_file_name(name_time, files_begun_);
+  ++files_begun_;
+  file_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
+  file_bytes_ = 0;
+  file_opened_ = net::Steady::now();
+  remove_oldest_files();
+}
+
+// Files are named by the wall clock, so that those of several incarnations sort. A clock that was set back
+// must not put a later incarnation before an earlier one.
+Nanos Writer::next_file_time(Nanos wall_time) const {
+  const Nanos min_distance = files_begun_ == 0 ? 1ms : 0ms;
+  Nanos file_time = std::chrono::floor<std::chrono::milliseconds>(wall_time);
+  std::error_code ignored;
+  for (const auto& entry : fs::directory_iterator(retention_.folder, ignored)) {
+    if (entry.path().extension() != kFileExtension) continue;
+    file_time = std::max(file_time, wall_time_of_name(entry.path()).value_or(Nanos{}) + min_distance);
   }
-  file_size_ += done;
-  const std::lock_guard held(lock_);
-  counts_.bytes += done;
-  if (done == text.size()) {
-    ++counts_.blocks;
-    return;
+  return file_time;
+}
+
+void Writer::remove_oldest_files() const {
+  const std::vector<StoredFile> files = files_by_name(retention_.folder);
+  // The file that begins may grow to its limit.
+  std::uint64_t total_bytes = retention_.max_file_bytes;
+  for (const auto& file : files) total_bytes += file.bytes;
+  for (std::size_t n = 0; n + 1 < files.size() && total_bytes > retention_.max_bytes; ++n) {
+    std::error_code ignored;
+    fs::remove(files[n].path, ignored);
+    total_bytes -= files[n].bytes;
   }
-  // Half a block stays where it is: readers skip it. The next goes to a file of its own.
-  ++counts_.failures;
-  counts_.lost += block.header.entries;
-  lost_ += block.header.entries + block.header.lost;
+}
+
+void Writer::close_file() {
   if (file_ >= 0) ::close(file_);
   file_ = -1;
 }
 
 void Writer::stop() {
   {
-    const std::lock_guard held(lock_);
+    const std::scoped_lock lock(mutex_);
     stopping_ = true;
   }
   changed_.notify_all();
   thread_.join();
-  if (file_ >= 0) ::close(std::exchange(file_, -1));
+  close_file();
 }
 
 Writer::Counts Writer::counts() const {
-  const std::lock_guard held(lock_);
+  const std::scoped_lock lock(mutex_);
   return counts_;
 }
 
--- a/src/replay/anonymise.cpp
+++ b/src/replay/anonymise.cpp
@@ -1,116 +1,136 @@
 #include "replay/anonymise.h"
 
+#include <algorithm>
 #include <map>
 
 #include "config/xml.h"
 #include "record.pb.h"
-#include "record/edit.h"
+#include "record/reader.h"
+#include "record/record_copier.h"
+#include "replay/pseudonyms.h"
 #include "schemas.h"
 
 namespace ospreypost::replay {
 namespace {
 
-// The same word for the same name, in the order in which names come.
-class Words {
- public:
-  const std::string& operator()(const std::string& kind, const std::string& name) {
-    auto& known = words_[kind];
-    const auto at = known.find(name);
-    if (at != known.end()) return at->second;
-    return known.emplace(name, kind + "-" + std::to_string(known.size() + 1)).first->second;
-  }
+using config::Element;
 
- private:
-  std::map<std::string, std::map<std::string, std::string>> words_;
-};
+// Comments may name anything.
+std::string without_comments(std::string text) {
+  constexpr std::string_view kCommentBegin = "<!--";
+  constexpr std::string_view kCommentEnd = "-->";
+  auto begin = text.find(kCommentBegin);
+  while (begin != std::string::npos) {
+    const auto end = text.find(kCommentEnd, begin);
+    text.erase(begin, end == std::string::npos ? end : end + kCommentEnd.size() - begin);
+    begin = text.find(kCommentBegin, begin);
+  }
+  return text;
+}
 
-class Anonymising : public record::RecordVisitor {
+class ConfigurationAnonymiser {
  public:
-  explicit Anonymising(record::RecordCopier& copy) : copy_(copy) {}
+  explicit ConfigurationAnonymiser(Pseudonyms& pseudonyms) : pseudonyms_(pseudonyms) {}
 
-  void on_file(const record::FileHeader& head) override { copy_.begin_file(head); }
-  void on_gap(std::uint64_t lost) override { copy_.mark_lost(std::max<std::uint64_t>(lost, 1)); }
-  void on_entry(const kept::Entry& entry) override {
-    auto changed = entry;
-    if (changed.has_begin()) {
-      auto& begin = *changed.mutable_begin();
-      begin.set_configuration(configuration(begin.configuration()));
-    }
-    if (changed.has_named()) changed.mutable_named()->set_name(words_("replica", changed.named().name()));
-    copy_.append(changed);
+  std::string anonymise(const std::string& text) {
+    const config::Document document(text, "the recorded configuration", config::kGovernorSchema);
+    const Element root = document.root();
+    replace_name(root, "name", "governor");
+    replace_name(root, "zone", "zone");
+    replace_names_of_children(root, "zones", "zone");
+    replace_names_of_children(root, "kinds", "kind");
+    for (const auto& cls : root.child("classes").children()) anonymise_class(cls);
+    for (const auto& proxy : root.child("proxies").children()) anonymise_proxy(proxy);
+    anonymise_services(root);
+    return without_comments(document.text());
   }
 
  private:
-  void rename(const config::Element& element, const char* attribute, const char* kind) {
-    if (const auto name = element.find(attribute)) element.set(attribute, words_(kind, *name));
+  void anonymise_class(const Element& cls) {
+    replace_name(cls, "name", "class");
+    replace_name_list(cls, "only-zones", "zone");
+    replace_name_list(cls, "only-kinds", "kind");
   }
-  void rename_list(const config::Element& element, const char* attribute, const char* kind) {
-    if (!element.find(attribute)) return;
-    std::string list;
-    for (const auto& name : element.words(attribute)) list += (list.empty() ? "" : " ") + words_(kind, name);
-    element.set(attribute, list);
-  }
-  // Ports tell little, and must differ where they did.
-  void hide_address(const config::Element& element, const char* attribute) {
-    const auto address = element.find(attribute);
-    if (!address) return;
-    const auto number = std::stoul(words_("address", *address).substr(8));
-    element.set(attribute, "127.0." + std::to_string(number / 200 % 200) + "." +
-                               std::to_string(1 + number % 200) + ":" + std::to_string(7000 + number % 1000));
+
+  void anonymise_proxy(const Element& proxy) {
+    replace_name(proxy, "name", "proxy");
+    replace_name(proxy, "zone", "zone");
+    replace_address(proxy, "entry");
+    replace_address(proxy, "receiver");
+    replace_name(proxy, "folder", "folder");
   }
 
-  std::string configuration(const std::string& text) {
-    const config::Document document(text, "the recorded configuration", config::kGovernorSchema);
-    const auto root = document.root();
-    rename(root, "name", "governor");
-    rename(root, "zone", "zone");
-    for (const auto& [list, kind] : {std::pair("zones", "zone"), std::pair("kinds", "kind")}) {
-      if (const auto names = root.find_child(list)) {
-        for (const auto& element : names->children()) rename(element, "name", kind);
-      }
-    }
-    for (const auto& cls : root.child("classes").children()) {
-      rename(cls, "name", "class");
-      rename_list(cls, "only-zones", "zone");
-      rename_list(cls, "only-kinds", "kind");
-    }
-    for (const auto& proxy : root.child("proxies").children()) {
-      rename(proxy, "name", "proxy");
-      rename(proxy, "zone", "zone");
-      hide_address(proxy, "entry");
-      hide_address(proxy, "receiver");
-      rename(proxy, "folder", "folder");
-    }
-    hide_address(root.child("reports"), "listen");
-    hide_address(root.child("dns"), "listen");
+  void anonymise_services(const Element& root) {
+    replace_address(root.child("reports"), "listen");
+    replace_address(root.child("dns"), "listen");
     root.child("dns").set("apex", "example.");
     root.child("dns").set("server-name", "governor.example.");
     root.child("roll").set("path", "roll.json");
     if (const auto record = root.find_child("record")) record->set("folder", "record");
     if (const auto logging = root.find_child("logging")) logging->set("path", "governor.log");
-    return without_comments(document.text());
   }
 
-  // They may name anything.
-  static std::string without_comments(std::string text) {
-    for (auto at = text.find("<!--"); at != std::string::npos; at = text.find("<!--", at)) {
-      const auto end = text.find("-->", at);
-      text.erase(at, end == std::string::npos ? end : end + 3 - at);
+  void replace_name(const Element& element, const char* attribute, const char* kind) {
+    if (const auto name = element.find(attribute)) element.set(attribute, pseudonyms_.of(kind, *name));
+  }
+
+  void replace_names_of_children(const Element& root, const char* list, const char* kind) {
+    const auto names = root.find_child(list);
+    if (!names) return;
+    for (const auto& element : names->children()) replace_name(element, "name", kind);
+  }
+
+  void replace_name_list(const Element& element, const char* attribute, const char* kind) {
+    if (!element.find(attribute)) return;
+    std::string list;
+    for (const auto& name : element.words(attribute)) {
+      if (!list.empty()) list += " ";
+      list += pseudonyms_.of(kind, name);
+    }
+    element.set(attribute, list);
+  }
+
+  void replace_address(const Element& element, const char* attribute) {
+    if (const auto address = element.find(attribute))
+      element.set(attribute, pseudonyms_.of_address(*address));
+  }
+
+  Pseudonyms& pseudonyms_;
+};
+
+class EntryAnonymiser : public record::RecordVisitor {
+ public:
+  explicit EntryAnonymiser(record::RecordCopier& copier) : copier_(copier) {}
+
+  void on_file(const record::FileHeader& header) override { copier_.begin_file(header); }
+  void on_gap(std::uint64_t lost_entries) override {
+    copier_.mark_lost(std::max<std::uint64_t>(lost_entries, 1));
+  }
+  void on_entry(const kept::Entry& entry) override {
+    kept::Entry anonymous = entry;
+    if (anonymous.has_begin()) {
+      auto& begin = *anonymous.mutable_begin();
+      begin.set_configuration(ConfigurationAnonymiser(pseudonyms_).anonymise(begin.configuration()));
     }
-    return text;
+    if (anonymous.has_named()) {
+      auto& named = *anonymous.mutable_named();
+      named.set_name(pseudonyms_.of("replica", named.name()));
+    }
+    copier_.append(anonymous);
   }
 
-  record::RecordCopier& copy_;
-  Words words_;
+ private:
+  record::RecordCopier& copier_;
+  Pseudonyms pseudonyms_;
 };
 
 }  // namespace
 
 void anonymise(const std::vector<std::string>& files, const std::string& folder) {
-  record::RecordCopier copy(folder);
-  Anonymising anonymising(copy);
-  record::visit_record(files, anonymising);
-  copy.close();
+  record::RecordCopier copier(folder);
+  EntryAnonymiser anonymiser(copier);
+  record::visit_record(files, anonymiser);
+  copier.close();
 }
 
 }  // namespace ospreypost::replay
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -1,205 +1,163 @@
 #include "replay/history.h"
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
-#include "net/socket.h"
 #include "record.pb.h"
+#include "record/errors.h"
+#include "replay/decode_id.h"
+#include "replay/event_decoder.h"
+#include "replay/plausibility.h"
 
 namespace ospreypost::replay {
-namespace {
 
 using kept::Entry;
 
-// Lines of one report are handed in one after the other, within this.
-constexpr Nanos kTogether = std::chrono::milliseconds(50);
-
-// Beyond these a time, span or count is nobody's: sums of a few would not fit.
-constexpr std::int64_t kMostTime = std::int64_t{1} << 61;
-constexpr std::int64_t kMostSpan = std::int64_t{3600} * 1'000'000'000;
-constexpr std::uint32_t kMostCount = 1'000'000;
-
-bool is_time(std::int64_t nanos) { return nanos > -kMostTime && nanos < kMostTime; }
-bool is_span(std::int64_t nanos) { return nanos >= 0 && nanos <= kMostSpan; }
-
-// A governor wrote it, as far as its figures tell; a sum over a block cannot tell that of a forged one.
-bool is_sane(const Entry& entry) {
-  if (!is_time(entry.at())) return false;
-  switch (entry.call_case()) {
-    case Entry::kBegin:
-      return is_time(entry.begin().wall());
-    case Entry::kListReceived: {
-      const auto& list = entry.list_received();
-      return list.kind() <= static_cast<std::uint32_t>(EndpointListKind::cached) &&
-             std::all_of(list.entries().begin(), list.entries().end(), [](const auto& line) {
-               return line.phase() <= static_cast<std::uint32_t>(EndpointPhase::gone) &&
-                      is_time(line.started()) && std::isfinite(line.weight());
-             });
-    }
-    case Entry::kProxyJoined:
-      return std::isfinite(entry.proxy_joined().usual_rate());
-    case Entry::kReplicaSummed: {
-      const auto& sum = entry.replica_summed();
-      return is_span(sum.span()) && is_span(sum.late()) && is_span(sum.mean_time()) &&
-             sum.failed() <= sum.tries() && sum.tries() <= kMostCount &&
-             std::all_of(sum.load().begin(), sum.load().end(),
-                         [](float load) { return std::isfinite(load); });
-    }
-    case Entry::kDemandSummed: {
-      const auto& sum = entry.demand_summed();
-      return is_span(sum.span()) && is_span(sum.late()) && sum.operations() <= kMostCount &&
-             sum.unanswered() <= kMostCount;
-    }
-    case Entry::kOrdersApplied:
-      return is_span(entry.orders_applied().took());
-    default:
-      return true;
-  }
-}
-
-ProxyId proxy(std::uint32_t number) { return ProxyId{static_cast<std::uint16_t>(number)}; }
-
-}  // namespace
-
 simulation::History HistoryReader::finish(const record::Corruption& corruption) {
-  if (history_.lives.empty()) throw net::Error("the record holds no start of a governor");
+  if (history_.lives.empty()) {
+    throw record::FormatError("the record holds no start of a governor", "an entry of a start",
+                              "no such entry");
+  }
   history_.lost = corruption.lost_entries;
-  history_.damaged = corruption.corrupt_stretches + absurd_;
+  history_.damaged = corruption.corrupt_regions + implausible_entries_;
   for (std::size_t n = 0; n < names_.size(); ++n)
     history_.replicas.push_back(names_.name(ReplicaId{static_cast<std::uint32_t>(n)}));
-  std::stable_sort(history_.reports.begin(), history_.reports.end(),
-                   [](const auto& a, const auto& b) { return a.arrived < b.arrived; });
+  history_.reports = reports_.take_reports();
+  history_.guessed = reports_.attributed_lines();
   history_.length = history_.lives.back().to;
   return std::move(history_);
 }
 
 void HistoryReader::on_entry(const Entry& entry) {
-  if (!is_sane(entry)) {
-    ++absurd_;
+  if (!is_plausible(entry)) {
+    ++implausible_entries_;
     return;
   }
-  if (entry.call_case() == Entry::kBegin) return begin(entry);
-  if (history_.lives.empty()) return;  // the head of the record is gone: nothing says what it was
-  const Nanos at = Nanos(entry.at()) + offset_;
-  history_.lives.back().to = std::max(history_.lives.back().to, at);
+  if (entry.has_begin()) {
+    begin_incarnation(entry);
+    return;
+  }
+  // The record's beginning is gone: nothing tells what was configured.
+  if (history_.lives.empty()) return;
+  const Nanos now = Nanos(entry.at()) + clock_offset_;
+  history_.lives.back().to = std::max(history_.lives.back().to, now);
+  add_event(now, entry);
+}
+
+void HistoryReader::begin_incarnation(const Entry& entry) {
+  if (history_.lives.empty()) {
+    history_.configuration = entry.begin().configuration();
+    first_wall_time_ = entry.begin().wall();
+  }
+  // A wall clock that was set back between two incarnations must not turn time round.
+  const Nanos last_time = history_.lives.empty() ? Nanos{} : history_.lives.back().to;
+  const Nanos now = std::max(last_time, Nanos(entry.begin().wall() - first_wall_time_));
+  clock_offset_ = now - Nanos(entry.at());
+  history_.lives.push_back({now, now});
+  replica_ids_.clear();
+  reports_.begin_incarnation();
+}
+
+void HistoryReader::add_event(Nanos now, const Entry& entry) {
   switch (entry.call_case()) {
     case Entry::kNamed:
-      ids_[entry.named().replica()] = names_.id_of(entry.named().name());
+      replica_ids_[entry.named().replica()] = names_.id_of(entry.named().name());
       return;
     case Entry::kListReceived:
-      return list(at, entry);
+      return add_endpoint_list(now, entry);
     case Entry::kListFailed:
-      history_.lists.push_back({at, EndpointListKind::changes, true, {}});
+      history_.lists.push_back({now, EndpointListKind::changes, true, {}});
       return;
-    case Entry::kProxyJoined: {
-      const auto& joined = entry.proxy_joined();
-      history_.memberships.push_back({at, proxy(joined.proxy()), true,
-                                      ZoneId{static_cast<std::uint16_t>(joined.zone())}, joined.usual_rate(),
-                                      joined.fresh()});
-      return;
-    }
+    case Entry::kProxyJoined:
+      return add_proxy_joined(now, entry);
     case Entry::kProxyLeft:
-      history_.memberships.push_back({at, proxy(entry.proxy_left()), false, {}, 0, false});
-      return;
+      return add_proxy_left(now, entry);
     case Entry::kReplicaSummed:
-      return on_replica_load_report(at, entry);
+      return add_replica_load_report(now, entry);
     case Entry::kDemandSummed:
-      return on_demand_report(at, entry);
+      return add_demand_report(now, entry);
     case Entry::kOrdersApplied:
       history_.applied.push_back(
-          {proxy(entry.orders_applied().proxy()), Nanos(entry.orders_applied().took())});
+          {decode_id<ProxyId>(entry.orders_applied().proxy()), Nanos(entry.orders_applied().took())});
       return;
     case Entry::kPeerSaid:
-      history_.peers.push_back(
-          {at, PeerId{static_cast<std::uint16_t>(entry.peer_said().peer())}, entry.peer_said().message()});
-      return;
+      return add_peer_message(now, entry);
     default:
-      return;  // timers and probes are the model's to answer
+      return;  // timers and health checks are the model's to answer
   }
 }
 
-void HistoryReader::begin(const Entry& entry) {
-  if (history_.lives.empty()) {
-    history_.configuration = entry.begin().configuration();
-    first_wall_ = entry.begin().wall();
-  }
-  // A wall clock that was set back between two lives must not turn time round.
-  const Nanos last = history_.lives.empty() ? Nanos{} : history_.lives.back().to;
-  const Nanos at = std::max(last, Nanos(entry.begin().wall() - first_wall_));
-  offset_ = at - Nanos(entry.at());
-  history_.lives.push_back({at, at});
-  ids_.clear();
-  open_.clear();
+ReplicaId HistoryReader::replica_id(std::uint32_t recorded_id) {
+  const auto known = replica_ids_.find(recorded_id);
+  if (known != replica_ids_.end()) return known->second;
+  const ReplicaId id = names_.id_of("replica-" + std::to_string(recorded_id));
+  replica_ids_[recorded_id] = id;
+  return id;
 }
 
-ReplicaId HistoryReader::replica(std::uint32_t number) {
-  const auto known = ids_.find(number);
-  if (known != ids_.end()) return known->second;
-  return ids_[number] = names_.id_of("replica-" + std::to_string(number));
+void HistoryReader::add_endpoint_list(Nanos now, const Entry& entry) {
+  const auto& encoded = entry.list_received();
+  simulation::ListNews list{now, static_cast<EndpointListKind>(encoded.kind()), false, {}};
+  for (const auto& line : encoded.entries()) {
+    EndpointUpdate update = decode_endpoint_update(line);
+    update.replica = replica_id(line.replica());
+    if (update.started) *update.started += clock_offset_;
+    list.entries.push_back(update);
+  }
+  history_.lists.push_back(std::move(list));
 }
 
-void HistoryReader::list(Nanos at, const Entry& entry) {
-  const auto& from = entry.list_received();
-  simulation::ListNews news{at, static_cast<EndpointListKind>(from.kind()), false, {}};
-  for (const auto& line : from.entries()) {
-    EndpointUpdate listed;
-    listed.replica = replica(line.replica());
-    listed.zone = ZoneId{static_cast<std::uint16_t>(line.zone())};
-    listed.kind = HardwareKindId{static_cast<std::uint16_t>(line.kind())};
-    listed.cell = CellId{static_cast<std::uint16_t>(line.cell())};
-    listed.phase = static_cast<EndpointPhase>(line.phase());
-    listed.weight = line.weight();
-    if (line.has_started()) listed.started = Nanos(line.started()) + offset_;
-    news.entries.push_back(listed);
-  }
-  history_.lists.push_back(std::move(news));
+void HistoryReader::add_proxy_joined(Nanos now, const Entry& entry) {
+  const auto& joined = entry.proxy_joined();
+  simulation::Membership membership;
+  membership.at = now;
+  membership.proxy = decode_id<ProxyId>(joined.proxy());
+  membership.joined = true;
+  membership.zone = decode_id<ZoneId>(joined.zone());
+  membership.usual_rate = joined.usual_rate();
+  membership.fresh = joined.fresh();
+  history_.memberships.push_back(membership);
 }
 
-// The report that a line belongs to: the last of its proxy, if it has the same span and came just before.
-simulation::Report& HistoryReader::report(Nanos at, ProxyId proxy, Nanos late, Nanos span, bool starts_anew) {
-  const auto open = open_.find(proxy);
-  if (open != open_.end() && !starts_anew) {
-    auto& last = history_.reports[open->second];
-    if (last.to - last.from == span && at - last.arrived <= kTogether) return last;
-  }
-  open_[proxy] = history_.reports.size();
-  history_.reports.push_back({proxy, at - late - span, at - late, at, {}, {}});
-  return history_.reports.back();
+void HistoryReader::add_proxy_left(Nanos now, const Entry& entry) {
+  simulation::Membership membership;
+  membership.at = now;
+  membership.proxy = decode_id<ProxyId>(entry.proxy_left());
+  membership.joined = false;
+  membership.fresh = false;
+  history_.memberships.push_back(membership);
 }
 
-void HistoryReader::on_replica_load_report(Nanos at, const Entry& entry) {
-  const auto& from = entry.replica_summed();
-  simulation::Met met{replica(from.replica()), from.tries(), from.failed(), Nanos(from.mean_time()), {}};
-  met.load.assign(from.load().begin(), from.load().end());
-  if (!from.has_proxy()) {
-    nameless_.push_back({at, Nanos(from.span()), std::move(met)});
+void HistoryReader::add_replica_load_report(Nanos now, const Entry& entry) {
+  const auto& encoded = entry.replica_summed();
+  simulation::Met met;
+  met.replica = replica_id(encoded.replica());
+  met.attempts = encoded.tries();
+  met.failed = encoded.failed();
+  met.mean_latency = Nanos(encoded.mean_time());
+  met.load.assign(encoded.load().begin(), encoded.load().end());
+  const Nanos span(encoded.span());
+  if (!encoded.has_proxy()) {
+    reports_.add_unattributed_line(now, span, std::move(met));
     return;
   }
-  auto& into = report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), false);
-  const bool again = std::any_of(into.met.begin(), into.met.end(),
-                                 [&](const simulation::Met& other) { return other.replica == met.replica; });
-  auto& mine = again || !into.asked.empty()
-                   ? report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), true)
-                   : into;
-  mine.met.push_back(std::move(met));
+  const auto proxy = decode_id<ProxyId>(encoded.proxy());
+  reports_.add_replica_line({now, proxy, Nanos(encoded.late()), span}, std::move(met));
 }
 
-void HistoryReader::on_demand_report(Nanos at, const Entry& entry) {
-  const auto& from = entry.demand_summed();
-  const ClassId cls{static_cast<std::uint16_t>(from.cls())};
-  const auto has = [&](const simulation::Report& report) {
-    return std::any_of(report.asked.begin(), report.asked.end(),
-                       [&](const simulation::Asked& asked) { return asked.cls == cls; });
-  };
-  auto* into = &report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), false);
-  if (has(*into)) into = &report(at, proxy(from.proxy()), Nanos(from.late()), Nanos(from.span()), true);
-  into->asked.push_back({cls, from.operations(), from.unanswered()});
-  // Of an older record: the lines before a proxy's demand are its own.
-  for (auto& line : nameless_) {
-    if (line.span == Nanos(from.span()) && at - line.at <= kTogether)
-      into->met.push_back(std::move(line.met)), ++history_.guessed;
-  }
-  nameless_.clear();
+void HistoryReader::add_demand_report(Nanos now, const Entry& entry) {
+  const auto& encoded = entry.demand_summed();
+  const auto proxy = decode_id<ProxyId>(encoded.proxy());
+  simulation::Asked asked;
+  asked.cls = decode_id<ClassId>(encoded.cls());
+  asked.operations = encoded.operations();
+  asked.unanswered = encoded.unanswered();
+  reports_.add_demand_line({now, proxy, Nanos(encoded.late()), Nanos(encoded.span())}, asked);
+}
+
+void HistoryReader::add_peer_message(Nanos now, const Entry& entry) {
+  const auto& said = entry.peer_said();
+  history_.peers.push_back({now, decode_id<PeerId>(said.peer()), said.message()});
 }
 
 simulation::History read_history(const std::vector<std::string>& files) {
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -8,157 +8,108 @@
 #include "record.pb.h"
 #include "record/action_encoder.h"
 #include "record/reader.h"
+#include "replay/event_decoder.h"
 
 namespace ospreypost::replay {
 namespace {
 
 using kept::Entry;
 
-// The call is made again, as it was made then. False if it is none of a governor's.
-bool make(Controller& governor, const Entry& entry) {
-  const Nanos now(entry.at());
-  const auto load = [](const auto& values) { return std::vector<float>(values.begin(), values.end()); };
-  switch (entry.call_case()) {
-    case Entry::kListReceived: {
-      std::vector<EndpointUpdate> entries;
-      for (const auto& from : entry.list_received().entries()) {
-        EndpointUpdate to;
-        to.replica = ReplicaId{from.replica()};
-        to.zone = ZoneId{static_cast<std::uint16_t>(from.zone())};
-        to.kind = HardwareKindId{static_cast<std::uint16_t>(from.kind())};
-        to.cell = CellId{static_cast<std::uint16_t>(from.cell())};
-        to.phase = static_cast<EndpointPhase>(from.phase());
-        to.weight = from.weight();
-        if (from.has_started()) to.started = Nanos(from.started());
-        entries.push_back(to);
-      }
-      governor.on_endpoint_list(now, static_cast<EndpointListKind>(entry.list_received().kind()), entries);
-      return true;
-    }
-    case Entry::kListFailed:
-      governor.on_endpoint_list_failed(now);
-      return true;
-    case Entry::kProxyJoined: {
-      const auto& joined = entry.proxy_joined();
-      governor.on_proxy_joined(now, ProxyId{static_cast<std::uint16_t>(joined.proxy())},
-                               ZoneId{static_cast<std::uint16_t>(joined.zone())}, joined.usual_rate(),
-                               joined.fresh());
-      return true;
-    }
-    case Entry::kProxyLeft:
-      governor.on_proxy_left(now, ProxyId{static_cast<std::uint16_t>(entry.proxy_left())});
-      return true;
-    case Entry::kReplicaSummed: {
-      const auto& from = entry.replica_summed();
-      governor.on_replica_load_report(
-          now, {ZoneId{static_cast<std::uint16_t>(from.zone())}, ReplicaId{from.replica()}, from.tries(),
-                from.failed(), Nanos(from.mean_time()), Nanos(from.span()), load(from.load())});
-      return true;
-    }
-    case Entry::kDemandSummed: {
-      const auto& from = entry.demand_summed();
-      governor.on_demand_report(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
-                                {ClassId{static_cast<std::uint16_t>(from.cls())}, from.operations(),
-                                 from.unanswered(), Nanos(from.span())});
-      return true;
-    }
-    case Entry::kOrdersApplied: {
-      const auto& from = entry.orders_applied();
-      governor.on_acknowledged(now, ProxyId{static_cast<std::uint16_t>(from.proxy())},
-                               AckRequestId{from.mark()}, Nanos(from.took()));
-      return true;
-    }
-    case Entry::kProbeAnswered: {
-      const auto& from = entry.probe_answered();
-      governor.on_health_check_result(now, {ReplicaId{from.replica()}, from.answered(), from.refused(),
-                                            Nanos(from.took()), load(from.load())});
-      return true;
-    }
-    case Entry::kTimerDue:
-      governor.on_timer(now, TimerId{entry.timer_due()});
-      return true;
-    case Entry::kPeerSaid:
-      governor.on_peer_message(now, PeerId{static_cast<std::uint16_t>(entry.peer_said().peer())},
-                               entry.peer_said().message());
-      return true;
-    case Entry::kBegin:
-    case Entry::kNamed:
-    case Entry::CALL_NOT_SET:
-      return false;
-  }
-  return false;
+// Actions are compared and digested in the form in which they are stored.
+std::string serialized_action(const Entry& entry, int position) {
+  std::string text;
+  if (position < entry.orders_size()) entry.orders(position).SerializeToString(&text);
+  return text;
+}
+
+std::string readable_action(const Entry& entry, int position) {
+  return position < entry.orders_size() ? entry.orders(position).ShortDebugString() : "";
 }
 
-class Replaying : private record::RecordVisitor, private ActionSink {
+std::string readable_event(Entry entry) {
+  entry.clear_orders();
+  return entry.ShortDebugString();
+}
+
+class Replayer : private record::RecordVisitor, private ActionSink {
  public:
-  explicit Replaying(const Options& options) : options_(options) {}
+  explicit Replayer(const Options& options) : options_(options) {}
 
-  ReplayResult play(const std::vector<std::string>& files) {
+  ReplayResult replay(const std::vector<std::string>& files) {
     const auto corruption = record::visit_record(files, *this);
-    outcome_.lost_entries = corruption.lost_entries;
-    outcome_.corrupt_stretches = corruption.corrupt_stretches;
-    outcome_.digest = digest_;
-    return outcome_;
+    result_.lost_entries = corruption.lost_entries;
+    result_.corrupt_regions = corruption.corrupt_regions;
+    return result_;
   }
 
  private:
-  // The module would go on from a state that nobody knows.
-  void on_gap(std::uint64_t) override { governor_.reset(); }
-
-  void on_entry(const Entry& entry) override {
-    if (outcome_.events == 0) outcome_.from = Nanos(entry.at());
-    outcome_.to = Nanos(entry.at());
-    ++outcome_.events;
-    replayed_.clear_orders();
-    if (entry.call_case() == Entry::kBegin) {
-      const auto [settings, seed] = options_.settings_of(entry.begin().configuration());
-      governor_ =
-          std::make_unique<Controller>(settings, seed, Nanos(entry.at()), static_cast<ActionSink&>(*this));
-      ++outcome_.incarnations;
-    } else if (!governor_) {
-      ++outcome_.skipped_events;
-      return;
-    } else if (!make(*governor_, entry)) {
-      return;
-    }
-    compare(entry);
+  // The controller would go on from a state that nobody knows.
+  void on_gap(std::uint64_t) override { controller_.reset(); }
+  void on_entry(const Entry& entry) override;
+  void on_action(const Action& action) override { record::encode_action(action, replayed_); }
+
+  void start_incarnation(const Entry& entry);
+  void compare_actions(const Entry& entry);
+  void report_difference(const Entry& entry, int position);
+
+  const Options& options_;
+  ReplayResult result_;
+  Entry replayed_;                          // holds the actions of the event being replayed
+  std::unique_ptr<Controller> controller_;  // null before the first start and after a gap
+};
+
+void Replayer::on_entry(const Entry& entry) {
+  const Nanos now(entry.at());
+  if (result_.events == 0) result_.from = now;
+  result_.to = now;
+  ++result_.events;
+  replayed_.clear_orders();
+  if (entry.has_begin()) {
+    start_incarnation(entry);
+    compare_actions(entry);
+    return;
+  }
+  if (!controller_) {
+    ++result_.skipped_events;
+    return;
   }
+  if (dispatch_event(entry, *controller_)) compare_actions(entry);
+}
 
-  void on_action(const Action& action) override { record::encode_action(action, replayed_); }
+void Replayer::start_incarnation(const Entry& entry) {
+  const ControllerConfig config = options_.load_config(entry.begin().configuration());
+  controller_ = std::make_unique<Controller>(config.settings, config.seed, Nanos(entry.at()),
+                                             static_cast<ActionSink&>(*this));
+  ++result_.incarnations;
+}
 
-  void compare(const Entry& entry) {
-    for (int n = 0; n < std::max(entry.orders_size(), replayed_.orders_size()); ++n) {
-      std::string then, now;
-      if (n < entry.orders_size()) entry.orders(n).SerializeToString(&then);
-      if (n < replayed_.orders_size()) {
-        replayed_.orders(n).SerializeToString(&now);
-        digest_ = XXH3_64bits_withSeed(now.data(), now.size(), digest_);
-        ++outcome_.actions;
-      }
-      if (then == now) continue;
-      ++outcome_.differing_actions;
-      if (outcome_.first_difference && !options_.on_difference) continue;
-      auto call = entry;
-      call.clear_orders();
-      const Difference difference{Nanos(entry.at()), outcome_.events, call.ShortDebugString(),
-                                  n < entry.orders_size() ? entry.orders(n).ShortDebugString() : "",
-                                  n < replayed_.orders_size() ? replayed_.orders(n).ShortDebugString() : ""};
-      if (!outcome_.first_difference) outcome_.first_difference = difference;
-      if (options_.on_difference) options_.on_difference(difference);
+void Replayer::compare_actions(const Entry& entry) {
+  const int actions = std::max(entry.orders_size(), replayed_.orders_size());
+  for (int position = 0; position < actions; ++position) {
+    const std::string recorded = serialized_action(entry, position);
+    const std::string replayed = serialized_action(replayed_, position);
+    if (position < replayed_.orders_size()) {
+      result_.digest = XXH3_64bits_withSeed(replayed.data(), replayed.size(), result_.digest);
+      ++result_.actions;
     }
+    if (recorded != replayed) report_difference(entry, position);
   }
+}
 
-  const Options& options_;
-  ReplayResult outcome_;
-  Entry replayed_;  // the orders that are made now
-  std::unique_ptr<Controller> governor_;
-  std::uint64_t digest_ = 0;
-};
+void Replayer::report_difference(const Entry& entry, int position) {
+  ++result_.differing_actions;
+  // Texts are made only for those who read them.
+  if (result_.first_difference && !options_.on_difference) return;
+  const Difference difference{Nanos(entry.at()), result_.events, readable_event(entry),
+                              readable_action(entry, position), readable_action(replayed_, position)};
+  if (!result_.first_difference) result_.first_difference = difference;
+  if (options_.on_difference) options_.on_difference(difference);
+}
 
 }  // namespace
 
 ReplayResult replay(const std::vector<std::string>& files, const Options& options) {
-  return Replaying(options).play(files);
+  return Replayer(options).replay(files);
 }
 
 }  // namespace ospreypost::replay
--- a/src/replay/replay.h
+++ b/src/replay/replay.h
@@ -1,4 +1,4 @@
-// Plays a record to the module of this build, and compares what it orders with what was ordered then.
+/// Gives a record to the controller of this build, and compares its actions with those that were recorded.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,47 @@
 
 namespace ospreypost::replay {
 
+/// An action that was not the same.
 struct Difference {
-  Nanos at{};
-  std::uint64_t event_number = 0;  // of the whole record, from 1
-  std::string event;               // the call, in words
-  std::string recorded, replayed;  // the order, in words; empty: none
+  Nanos at{};                      ///< the event's time, on the entries' clock
+  std::uint64_t event_number = 0;  ///< in the whole record, from 1
+  std::string event;               ///< that led to the action, in the schema's names
+  std::string recorded;            ///< the action in the schema's names; empty: none
+  std::string replayed;            ///< the action in the schema's names; empty: none
 };
 
 struct ReplayResult {
-  std::uint64_t events = 0, actions = 0, incarnations = 0;
-  std::uint64_t differing_actions = 0;  // orders
+  std::uint64_t events = 0;
+  std::uint64_t actions = 0;  ///< that the replay led to
+  std::uint64_t incarnations = 0;
+  std::uint64_t differing_actions = 0;
   std::optional<Difference> first_difference;
-  // Where the record is not whole: from there to the next start nothing can be compared.
-  std::uint64_t lost_entries = 0, corrupt_stretches = 0, skipped_events = 0;
-  std::uint64_t digest = 0;  // of all that was ordered in the replay, in order
-  Nanos from{}, to{};
+  // Where the record is incomplete, nothing can be compared up to the next start:
+  std::uint64_t lost_entries = 0;
+  std::uint64_t corrupt_regions = 0;
+  std::uint64_t skipped_events = 0;  ///< that could not be replayed
+  std::uint64_t digest = 0;          ///< of all actions of the replay, in order
+  Nanos from{};                      ///< time of the first entry, on the entries' clock
+  Nanos to{};                        ///< time of the last entry
+
   bool is_identical() const { return differing_actions == 0; }
 };
 
+/// What an incarnation's controller is made with.
+struct ControllerConfig {
+  Settings settings;
+  std::uint64_t seed = 0;
+};
+
 struct Options {
-  // Called with each order that differs, in the order made; may be empty.
+  /// Called with each action that differs, in the order made; may be empty.
   std::function<void(const Difference&)> on_difference;
-  // The settings that a configuration comes to, and its seed.
-  std::function<std::pair<Settings, std::uint64_t>(const std::string& configuration)> settings_of;
+  /// What a recorded configuration comes to. What it throws leaves `replay`.
+  std::function<ControllerConfig(const std::string& configuration)> load_config;
 };
 
-// Throws net::Error if a file cannot be read, is no record, or of a newer schema.
+/// Throws `record::StorageError` if a file cannot be read, and `record::FormatError` if one is no record or
+/// of a newer schema.
 ReplayResult replay(const std::vector<std::string>& files, const Options& options);
 
 }  // namespace ospreypost::replay
--- /dev/null
+++ b/src/replay/replica_faults.cpp
@@ -0,0 +1,182 @@
+#include "replay/replica_faults.h"
+
+#include <algorithm>
+#include <map>
+#include <optional>
+#include <ranges>
+#include <string_view>
+#include <vector>
+
+namespace ospreypost::replay {
+namespace {
+
+using namespace std::chrono_literals;
+
+// From this share of failed attempts on a spell is a fault.
+constexpr double kMinFaultFailureRatio = 0.2;
+// Between a crash and the endpoint list's notice of it.
+constexpr Nanos kMinCrashNotice = 100ms;
+constexpr Nanos kMaxCrashNotice = 30s;
+// Spells of one kind that are closer are one fault; a shorter fault is left out.
+constexpr Nanos kMaxSpellGap = 500ms;
+constexpr Nanos kMinSpellDuration = 300ms;
+// A spell weighs in its fault by its duration, and never nothing.
+constexpr double kMinSpellSeconds = 1e-3;
+
+struct Absence {
+  Nanos from{};
+  Nanos to{};
+};
+
+// What the endpoint lists so far show of a replica.
+struct ListedState {
+  bool was_ready = false;
+  bool is_draining = false;
+  std::optional<Nanos> left_at;  // drained or gone; absent while it is ready
+  std::optional<Nanos> gone_at;  // of a drain: when it ended
+};
+
+// Adds drains and crashes, each until the replica is listed ready again.
+class AbsenceReader {
+ public:
+  AbsenceReader(const ScenarioSource& source, const ReplicaNames& names, FaultElements& faults)
+      : source_(source), names_(names), faults_(faults) {}
+
+  std::map<ReplicaId, std::vector<Absence>> read() {
+    for (const auto& list : source_.history.lists) {
+      for (const auto& update : list.entries) take(list.at, update);
+    }
+    for (auto& [replica, state] : states_) end_absence(replica, state, source_.history.length);
+    return absences_;
+  }
+
+ private:
+  void take(Nanos now, const EndpointUpdate& update) {
+    ListedState& state = states_[update.replica];
+    switch (update.phase) {
+      case EndpointPhase::ready:
+        end_absence(update.replica, state, now);
+        state = {};
+        state.was_ready = true;
+        return;
+      case EndpointPhase::draining:
+        if (!state.left_at) leave(state, now, true);
+        return;
+      case EndpointPhase::gone:
+        if (!state.left_at) leave(state, now, false);
+        state.gone_at = now;
+        return;
+    }
+  }
+
+  static void leave(ListedState& state, Nanos now, bool draining) {
+    state.is_draining = draining;
+    // At time 0 a list shows who is there, not who leaves.
+    if (now != 0ns) state.left_at = now;
+  }
+
+  void end_absence(ReplicaId replica, ListedState& state, Nanos now) {
+    if (!state.was_ready || !state.left_at) return;
+    const Nanos listed_at = *state.left_at;
+    const Nanos from = state.is_draining ? listed_at : crash_time(replica, listed_at);
+    const std::string own_attribute = attribute("replicas", names_.name_of(replica));
+    if (state.is_draining) {
+      const Nanos drained_after = state.gone_at.value_or(now) - from;
+      faults_.add(from, now, "drain", own_attribute + attribute("leaves", duration_text(drained_after)));
+    } else {
+      const Nanos notice = std::min(std::max(listed_at - from, kMinCrashNotice), now - from);
+      faults_.add(from, now, "crash", own_attribute + attribute("notice", duration_text(notice)));
+    }
+    absences_[replica].push_back({from, now});
+    state.left_at.reset();
+  }
+
+  // When its attempts began to fail, if they did until the list showed that it is gone.
+  Nanos crash_time(ReplicaId replica, Nanos listed_at) const {
+    Nanos crashed_at = listed_at;
+    const auto& spells = source_.fleet.replicas[static_cast<std::size_t>(replica)].spells;
+    for (const auto& spell : std::views::reverse(spells)) {
+      const bool leads_to_crash = spell.from < crashed_at && spell.to >= crashed_at;
+      if (leads_to_crash && spell.fails >= kMinFaultFailureRatio)
+        crashed_at = std::max(spell.from, listed_at - kMaxCrashNotice);
+    }
+    return crashed_at;
+  }
+
+  const ScenarioSource& source_;
+  const ReplicaNames& names_;
+  FaultElements& faults_;
+  std::map<ReplicaId, ListedState> states_;
+  std::map<ReplicaId, std::vector<Absence>> absences_;
+};
+
+// The scenario's word for what a spell is; absent if it is no fault.
+std::optional<std::string_view> fault_kind(const simulation::Spell& spell) {
+  if (spell.fails >= kMinFaultFailureRatio) {
+    const bool nearly_all_fail = spell.fails > 0.9;
+    if (spell.never_ran > 0.5 && nearly_all_fail) return "refuse";
+    if (spell.hangs > 0.5 && nearly_all_fail) return "hang";
+    return "fast-errors";
+  }
+  if (spell.slower > 1) return "slow";
+  return std::nullopt;
+}
+
+// Spells of one kind that go on from each other.
+struct MergedSpell {
+  std::optional<std::string_view> kind;
+  Nanos from{};
+  Nanos to{};
+  double seconds = 0;
+  double failed_seconds = 0;    // weighted by the share of failed attempts
+  double slowness_seconds = 0;  // weighted by how many times as long attempts took
+};
+
+std::vector<MergedSpell> merge_adjacent(const std::vector<simulation::Spell>& spells) {
+  std::vector<MergedSpell> merged;
+  for (const auto& spell : spells) {
+    const auto kind = fault_kind(spell);
+    const bool goes_on =
+        !merged.empty() && merged.back().kind == kind && spell.from - merged.back().to < kMaxSpellGap;
+    if (!goes_on) merged.push_back({kind, spell.from, spell.from, 0, 0, 0});
+    MergedSpell& last = merged.back();
+    const double seconds =
+        std::max(kMinSpellSeconds, std::chrono::duration<double>(spell.to - spell.from).count());
+    last.to = spell.to;
+    last.seconds += seconds;
+    last.failed_seconds += seconds * spell.fails;
+    last.slowness_seconds += seconds * spell.slower;
+  }
+  return merged;
+}
+
+std::string attributes_of(const MergedSpell& spell) {
+  if (spell.kind == "fast-errors")
+    return attribute("share", decimal_text(std::min(1.0, spell.failed_seconds / spell.seconds)));
+  if (spell.kind == "slow") return attribute("factor", decimal_text(spell.slowness_seconds / spell.seconds));
+  return "";
+}
+
+bool overlaps(const std::vector<Absence>& absences, Nanos from, Nanos to) {
+  return std::any_of(absences.begin(), absences.end(),
+                     [&](const Absence& absence) { return absence.from <= to && from < absence.to; });
+}
+
+}  // namespace
+
+void add_replica_faults(const ScenarioSource& source, const ReplicaNames& names, FaultElements& faults) {
+  const auto absences = AbsenceReader(source, names, faults).read();
+  for (std::size_t n = 0; n < source.fleet.replicas.size(); ++n) {
+    const ReplicaId replica{static_cast<std::uint32_t>(n)};
+    const auto known = absences.find(replica);
+    for (const auto& spell : merge_adjacent(source.fleet.replicas[n].spells)) {
+      if (!spell.kind || spell.to - spell.from < kMinSpellDuration) continue;
+      // The absence's own fault covers it.
+      if (known != absences.end() && overlaps(known->second, spell.from, spell.to)) continue;
+      faults.add(spell.from, spell.to, std::string(*spell.kind),
+                 attribute("replicas", names.name_of(replica)) + attributes_of(spell));
+    }
+  }
+}
+
+}  // namespace ospreypost::replay
--- /dev/null
+++ b/src/replay/replica_faults.h
@@ -0,0 +1,13 @@
+/// What befell single replicas, as far as a record tells.
+#pragma once
+
+#include "replay/replica_names.h"
+#include "replay/scenario_source.h"
+#include "replay/scenario_xml.h"
+
+namespace ospreypost::replay {
+
+/// Adds drains, crashes that the endpoint list shows, and spells in which attempts failed or were slow.
+void add_replica_faults(const ScenarioSource& source, const ReplicaNames& names, FaultElements& faults);
+
+}  // namespace ospreypost::replay
--- /dev/null
+++ b/src/replay/scenario_source.h
@@ -0,0 +1,26 @@
+/// What a scenario is made of.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "simulation/fleet.h"
+#include "simulation/history.h"
+
+namespace ospreypost::replay {
+
+/// A recorded time and the fleet model fitted to it; valid as long as what it refers to.
+struct ScenarioSource {
+  const simulation::History& history;
+  const simulation::Deployment& deployment;
+  const simulation::Fleet& fleet;
+  const std::vector<std::string>& kinds;  ///< names of hardware kinds, by id
+  Nanos begin{};                          ///< of the scenario, in the record's time
+
+  const std::string& zone_name(ZoneId zone) const { return deployment.zones[static_cast<std::size_t>(zone)]; }
+  const std::string& proxy_name(ProxyId proxy) const {
+    return deployment.proxies.at(static_cast<std::size_t>(proxy));
+  }
+};
+
+}  // namespace ospreypost::replay
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -1,4 +1,4 @@
-// Records of records: cut, merged, anonymised, read in any order, of older schemas, and as a history.
+// Records of records: listed in any order, cut, merged, dumped and anonymised.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -6,13 +6,13 @@
 
 #include "net/socket.h"
 #include "record.pb.h"
+#include "record/dump.h"
 #include "record/edit.h"
-#include "record/recording_controller.h"
-#include "record/writer.h"
+#include "record/reader.h"
+#include "record/record_copier.h"
+#include "record_support.h"
 #include "replay/anonymise.h"
 #include "replay/history.h"
-#include "replay/replay.h"
-#include "support.h"
 
 namespace ospreypost::record {
 namespace {
@@ -20,109 +20,81 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
+using test::find_blocks;
+using test::FoundBlocks;
+using test::record_incarnation;
 using test::RegisteredEndpoint;
+using test::replay_as_recorded;
 
-replay::Options exact() {
-  replay::Options options;
-  options.settings_of = [](const std::string& text) {
-    const auto config = config::parse_config(text, "recorded");
-    return std::pair(config::module_settings(config), config.seed);
-  };
-  return options;
-}
-
-// One life of a governor: replicas named in the order given, joins, and a report each second.
-void live(const std::string& folder, Nanos begun, const std::vector<std::string>& names, int reports = 8) {
-  const auto config = config::parse_config(test::small_config_text(), "small");
-  Writer writer({folder, 1U << 30, 2000});
-  test::IgnoringHandler host;
-  RecordingController tap(config::module_settings(config), config.seed, begun, host, &writer, config.text);
-  std::vector<EndpointUpdate> list;
-  for (std::uint32_t n = 0; n < names.size(); ++n) {
-    tap.on_replica_named(begun, ReplicaId{n}, names[n]);
-    list.push_back({ReplicaId{n}, ZoneId{0}, {}, {}, EndpointPhase::ready, 1, {}});
-  }
-  tap.on_endpoint_list(begun, EndpointListKind::cached, list);
-  tap.on_proxy_joined(begun, ProxyId{0}, ZoneId{0}, 10, true);
-  for (int n = 1; n <= reports; ++n) {
-    const Nanos at = begun + n * 1s;
-    for (std::uint32_t r = 0; r < names.size(); ++r)
-      tap.on_replica_load_report(at, {ZoneId{0}, ReplicaId{r}, 9, r, 80ms, 1s, {0.5F}},
-                                 {ProxyId{0}, n * 1ms});
-    tap.on_demand_report(at, {ClassId{0}, 20, 1, 1s}, {ProxyId{0}, n * 1ms});
-    tap.on_demand_report(at, {ClassId{1}, 10, 0, 1s}, {ProxyId{0}, n * 1ms});
-  }
+// A record of one start alone, by a clock that runs years ahead. Returns its file.
+std::string record_start_years_ahead(const std::string& folder) {
+  RecordCopier copier(folder);
+  const Nanos years_ahead = std::chrono::hours(24 * 365 * 70);
+  copier.begin_file({kSchemaVersion, years_ahead, 1s, 0});
+  kept::Entry entry;
+  entry.set_at(Nanos(1s).count());
+  entry.mutable_begin()->set_configuration(test::small_config_text());
+  copier.append(entry);
+  copier.close();
+  return list_files({folder}).front();
 }
 
-TEST(Files, AreTakenInTheirOrderAndOnce) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x", "y"});
-  live(place.in("a"), 100s, {"y", "x"});
-  const auto files = list_files({place.in("a")});
+TEST(ListFilesTest, GivesFilesInTheirOrderAndEachOnce) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x", "y"});
+  record_incarnation(folder.in("a"), 100s, {"y", "x"});
+  const auto files = list_files({folder.in("a")});
   ASSERT_GT(files.size(), 1U);
-  const auto digest = replay::replay(files, exact()).digest;
+  const auto digest = replay_as_recorded(files).digest;
+
   auto reversed = std::vector<std::string>(files.rbegin(), files.rend());
   EXPECT_EQ(list_files(reversed), files);
-  // Under another name the head still tells where it belongs.
-  fs::copy_file(files.front(), place.in("zzz.rec"));
-  reversed.push_back(place.in("zzz.rec"));
-  const auto once = list_files(reversed);
-  EXPECT_EQ(once.size(), files.size());
-  EXPECT_EQ(replay::replay(once, exact()).digest, digest);
+
+  // Under another name the header still tells where it belongs.
+  fs::copy_file(files.front(), folder.in("zzz.rec"));
+  reversed.push_back(folder.in("zzz.rec"));
+  const auto without_copy = list_files(reversed);
+  EXPECT_EQ(without_copy.size(), files.size());
+  EXPECT_EQ(replay_as_recorded(without_copy).digest, digest);
 }
 
-TEST(Files, StayInOrderWhenTheClockWasSetBack) {
-  RegisteredEndpoint place;
-  fs::create_directories(place.in("a"));
-  // A life whose file is named by a clock that ran years ahead.
-  RecordCopier ahead(place.in("ahead"));
-  ahead.begin_file({kSchemaVersion, Nanos(std::chrono::hours(24 * 365 * 70)), 1s, 0});
-  kept::Entry entry;
-  entry.set_at(Nanos(1s).count());
-  entry.mutable_begin()->set_configuration(test::small_config_text());
-  ahead.append(entry);
-  ahead.close();
-  const auto old = list_files({place.in("ahead")}).front();
-  fs::copy_file(old, fs::path(place.in("a")) / fs::path(old).filename());
-  live(place.in("a"), 5s, {"x"});
-  const auto files = list_files({place.in("a")});
+TEST(ListFilesTest, KeepsTheOrderOfIncarnationsWhenTheClockWasSetBack) {
+  const RegisteredEndpoint folder;
+  fs::create_directories(folder.in("a"));
+  const std::string ahead = record_start_years_ahead(folder.in("ahead"));
+  fs::copy_file(ahead, fs::path(folder.in("a")) / fs::path(ahead).filename());
+  record_incarnation(folder.in("a"), 5s, {"x"});
+  const auto files = list_files({folder.in("a")});
   ASSERT_GE(files.size(), 2U);
-  EXPECT_EQ(fs::path(files.front()).filename(), fs::path(old).filename());
+  EXPECT_EQ(fs::path(files.front()).filename(), fs::path(ahead).filename());
 }
 
 // As a full disk leaves it.
-TEST(Files, WithoutAByteAreDamagedOnes) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x"});
-  std::ofstream(place.in("a") + "/002000000000000-000000.rec");
-  const auto outcome = replay::replay(list_files({place.in("a")}), exact());
-  EXPECT_TRUE(outcome.is_identical());
-  EXPECT_EQ(outcome.corrupt_stretches, 1U);
-  EXPECT_EQ(outcome.skipped_events, 0U);
+TEST(VisitRecordTest, CountsAFileWithoutAByteAsCorrupt) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x"});
+  const std::ofstream empty_file(folder.in("a") + "/002000000000000-000000.rec");
+  const auto result = replay_as_recorded(list_files({folder.in("a")}));
+  EXPECT_TRUE(result.is_identical());
+  EXPECT_EQ(result.corrupt_regions, 1U);
+  EXPECT_EQ(result.skipped_events, 0U);
 }
 
-// Any byte of a file's head: a plain message, or the blocks are all there and the damage is told.
-TEST(Files, TellOfADamagedHead) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x"}, 2);
-  const auto whole = read_file(list_files({place.in("a")}).front());
-  const auto entries_in = [](const std::string& text, std::size_t& damaged) {
-    BlockReader blocks(text);
-    std::size_t entries = 0;
-    while (const auto block = blocks.next()) entries += block->header.entries;
-    damaged = blocks.corrupt_stretches();
-    return entries;
-  };
-  std::size_t damaged = 0;
-  const auto entries = entries_in(whole, damaged);
-  ASSERT_EQ(damaged, 0U);
+// A plain message, or the blocks are all there and the corruption is told.
+TEST(BlockReaderTest, RefusesOrCountsAFileHeaderWithAByteFlippedAnywhere) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x"}, 2);
+  const std::string whole = read_file(list_files({folder.in("a")}).front());
+  const FoundBlocks found = find_blocks(whole);
+  ASSERT_EQ(found.corrupt_regions, 0U);
   std::size_t refused = 0;
-  for (std::size_t at = 0; at < encode_file_header().size(); ++at) {
-    auto flipped = whole;
-    flipped[at] = static_cast<char>(flipped[at] ^ 0x40);
+  for (std::size_t position = 0; position < encode_file_header().size(); ++position) {
+    std::string flipped = whole;
+    flipped[position] = static_cast<char>(flipped[position] ^ 0x40);
     try {
-      EXPECT_EQ(entries_in(flipped, damaged), entries) << at;
-      EXPECT_GE(damaged, 1U) << at;
+      const FoundBlocks found_in_flipped = find_blocks(flipped);
+      EXPECT_EQ(found_in_flipped.entries(), found.entries()) << position;
+      EXPECT_GE(found_in_flipped.corrupt_regions, 1U) << position;
     } catch (const net::Error&) {
       ++refused;
     }
@@ -130,116 +102,81 @@
   EXPECT_EQ(refused, 8U);  // the magic and the schema
 }
 
-// Schema 1: a shorter head, and lines that do not say whose they are.
-TEST(Files, OfAnOlderSchemaAreRead) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x", "y"}, 3);
-  kept::Block all;
-  std::string old("OSPREC\1\0", 8);
-  for (const auto& file : list_files({place.in("a")})) {
-    const auto text = read_file(file);
-    BlockReader blocks(text);
-    while (const auto block = blocks.next()) {
-      kept::Block one;
-      ASSERT_TRUE(one.ParseFromString(block->payload));
-      for (auto& entry : *one.mutable_entries()) {
-        if (entry.has_replica_summed()) entry.mutable_replica_summed()->clear_proxy();
-        if (entry.has_replica_summed()) entry.mutable_replica_summed()->clear_late();
-        if (entry.has_demand_summed()) entry.mutable_demand_summed()->clear_late();
-      }
-      old += encode_block(block->header, one.SerializeAsString());
-    }
-  }
-  const auto path = place.in("001796149725184-000000.rec");
-  std::ofstream(path, std::ios::binary) << old;
-  const auto outcome = replay::replay(list_files({path}), exact());
-  EXPECT_TRUE(outcome.is_identical());
-  EXPECT_EQ(outcome.skipped_events, 0U);
-  const auto history = replay::read_history({path});
-  EXPECT_EQ(history.guessed, 6U);
-  ASSERT_EQ(history.reports.size(), 3U);
-  EXPECT_EQ(history.reports.front().met.size(), 2U);
+TEST(CutTest, KeepsTheBeginningSoThatItReplays) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x", "y"});
+  const auto files = list_files({folder.in("a")});
+  EXPECT_GT(cut(files, {0s, 4500ms}, folder.in("beginning")), 0U);
+  const auto beginning = list_files({folder.in("beginning")});
+  const auto result = replay_as_recorded(beginning);
+  EXPECT_TRUE(result.is_identical());
+  EXPECT_EQ(result.skipped_events, 0U);
+  EXPECT_EQ(replay::read_history(beginning).reports.size(), 4U);
 }
 
-TEST(History, KnowsReplicasByNameThroughAllLives) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x", "y", "z"});
-  live(place.in("a"), 500s, {"z", "x"});
-  const auto history = replay::read_history(list_files({place.in("a")}));
-  EXPECT_EQ(history.lives.size(), 2U);
-  EXPECT_EQ(history.replicas, (std::vector<std::string>{"x", "y", "z"}));
-  ASSERT_EQ(history.reports.size(), 16U);
-  // In the second life z is its first: 0 of 9 tries failed there.
-  const auto& last = history.reports.back();
-  ASSERT_EQ(last.met.size(), 2U);
-  EXPECT_EQ(last.met[0].replica, ReplicaId{2});
-  EXPECT_EQ(last.met[0].failed, 0U);
-  EXPECT_EQ(last.met[1].replica, ReplicaId{0});
-  EXPECT_EQ(last.asked.size(), 2U);
-  EXPECT_EQ(last.arrived - last.to, 8ms);
-  EXPECT_GT(history.lives[1].from, history.lives[0].to - 1ns);
-}
-
-TEST(Edit, CutsFromTheBeginningReplayAndOthersSayWhatIsMissing) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x", "y"});
-  const auto files = list_files({place.in("a")});
-  EXPECT_GT(cut(files, {0s, 4500ms}, place.in("head")), 0U);
-  const auto head = replay::replay(list_files({place.in("head")}), exact());
-  EXPECT_TRUE(head.is_identical());
-  EXPECT_EQ(head.skipped_events, 0U);
-  EXPECT_EQ(replay::read_history(list_files({place.in("head")})).reports.size(), 4U);
-
-  cut(files, {4500ms, Nanos::max()}, place.in("tail"));
-  const auto tail = replay::replay(list_files({place.in("tail")}), exact());
-  EXPECT_GT(tail.lost_entries, 0U);
-  EXPECT_GT(tail.skipped_events, 0U);
-  // Who there is, is still known.
-  const auto history = replay::read_history(list_files({place.in("tail")}));
+TEST(CutTest, KeepsWhoIsThereAndMarksWhatIsMissing) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x", "y"});
+  const auto files = list_files({folder.in("a")});
+  cut(files, {4500ms, Nanos::max()}, folder.in("end"));
+  const auto end = list_files({folder.in("end")});
+  const auto result = replay_as_recorded(end);
+  EXPECT_GT(result.lost_entries, 0U);
+  EXPECT_GT(result.skipped_events, 0U);
+  const auto history = replay::read_history(end);
   EXPECT_EQ(history.replicas.size(), 2U);
   EXPECT_EQ(history.memberships.size(), 1U);
   EXPECT_EQ(history.reports.size(), 4U);
-  EXPECT_THROW(cut(files, {}, place.in("tail")), net::Error);  // nothing is written over
 }
 
-TEST(Edit, MergesFoldersIntoOne) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x"});
-  live(place.in("b"), 300s, {"x"});
-  const auto files = list_files({place.in("b"), place.in("a"), place.in("b")});
-  merge(files, place.in("both"));
-  const auto apart = replay::replay(files, exact()),
-             together = replay::replay(list_files({place.in("both")}), exact());
+TEST(CutTest, OverwritesNothing) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x", "y"});
+  const auto files = list_files({folder.in("a")});
+  cut(files, {4500ms, Nanos::max()}, folder.in("end"));
+  EXPECT_THROW(cut(files, {}, folder.in("end")), net::Error);
+}
+
+TEST(MergeTest, PutsFoldersIntoOne) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x"});
+  record_incarnation(folder.in("b"), 300s, {"x"});
+  const auto files = list_files({folder.in("b"), folder.in("a"), folder.in("b")});
+  merge(files, folder.in("both"));
+  const auto apart = replay_as_recorded(files);
+  const auto together = replay_as_recorded(list_files({folder.in("both")}));
   EXPECT_EQ(together.incarnations, 2U);
   EXPECT_EQ(together.digest, apart.digest);
 }
 
-TEST(Edit, AnonymisesAllNamesAndNoOrder) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"east-1", "secret-unit"});
-  live(place.in("a"), 300s, {"secret-unit"});
-  const auto files = list_files({place.in("a")});
-  replay::anonymise(files, place.in("anonymous"));
-  const auto anonymous = list_files({place.in("anonymous")});
-  EXPECT_EQ(replay::replay(anonymous, exact()).digest, replay::replay(files, exact()).digest);
-  std::string all;
-  dump(anonymous, {}, false, [&](Nanos, const std::string& line) { all += line; });
+TEST(AnonymiseTest, ReplacesAllNamesAndChangesNoAction) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"east-1", "secret-unit"});
+  record_incarnation(folder.in("a"), 300s, {"secret-unit"});
+  const auto files = list_files({folder.in("a")});
+  replay::anonymise(files, folder.in("anonymous"));
+  const auto anonymous = list_files({folder.in("anonymous")});
+  EXPECT_EQ(replay_as_recorded(anonymous).digest, replay_as_recorded(files).digest);
+  std::string text;
+  dump(anonymous, {}, false, [&](Nanos, const std::string& line) { text += line; });
   for (const char* name :
-       {"secret-unit", "forwarder", "sign-job", "farm.example", "\\\"east\\\"", "127.0.0.1:7001"})
-    EXPECT_EQ(all.find(name), std::string::npos) << name;
+       {"secret-unit", "forwarder", "sign-job", "farm.example", R"(\"east\")", "127.0.0.1:7001"})
+    EXPECT_EQ(text.find(name), std::string::npos) << name;
   // The same one everywhere.
   const auto history = replay::read_history(anonymous);
   EXPECT_EQ(history.replicas, (std::vector<std::string>{"replica-1", "replica-2"}));
 }
 
-TEST(Seek, UnpacksOnlyWhatTouchesTheWindow) {
-  RegisteredEndpoint place;
-  live(place.in("a"), 5s, {"x", "y"}, 60);
+TEST(DumpTest, GivesOnlyEntriesOfTheWindow) {
+  const RegisteredEndpoint folder;
+  record_incarnation(folder.in("a"), 5s, {"x", "y"}, 60);
   std::size_t lines = 0;
-  Nanos first = Nanos::max(), last{};
-  dump(list_files({place.in("a")}), {20s, 30s}, true, [&](Nanos at, const std::string& line) {
+  Nanos first = Nanos::max();
+  Nanos last{};
+  dump(list_files({folder.in("a")}), {20s, 30s}, true, [&](Nanos time, const std::string& line) {
     ++lines;
-    first = std::min(first, at), last = std::max(last, at);
+    first = std::min(first, time);
+    last = std::max(last, time);
     EXPECT_EQ(line.front(), '{');
   });
   EXPECT_GT(lines, 30U);
