--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -4,10 +4,11 @@
 
 #include <google/protobuf/text_format.h>
 
+#include <cstdint>
 #include <cstdlib>
+#include <optional>
 #include <stdexcept>
 
-#include "net/socket.h"
 #include "program/support.h"
 #include "record.pb.h"
 #include "replay/export_scenario.h"
@@ -16,41 +17,62 @@
 
 namespace {
 
+using namespace ospreypost;
+
 // What a fuzzer may spend on one input.
-constexpr std::uint64_t kMostOperations = 3000;
-constexpr ospreypost::Nanos kLongest = std::chrono::minutes(2);
+constexpr std::uint64_t kMaxPlayedRequests = 3000;
+constexpr Nanos kMaxPlayedLength = std::chrono::minutes(2);
+
+std::optional<kept::Block> parse_block(const std::string& text) {
+  kept::Block block;
+  if (block.ParseFromString(text)) return block;
+  if (google::protobuf::TextFormat::ParseFromString(text, &block)) return block;
+  return std::nullopt;
+}
+
+simulation::History read_after_start(const kept::Block& block, const std::string& configuration) {
+  replay::HistoryReader reader;
+  kept::Entry start;
+  start.set_at(1);
+  start.mutable_begin()->set_configuration(configuration);
+  reader.on_entry(start);
+  for (const auto& entry : block.entries()) reader.on_entry(entry);
+  return reader.finish({});
+}
+
+bool is_small(const simulation::History& history) {
+  std::uint64_t requests = 0;
+  for (const auto& report : history.reports) {
+    for (const auto& asked : report.asked) requests += asked.operations;
+  }
+  return requests <= kMaxPlayedRequests && history.length <= kMaxPlayedLength;
+}
+
+void fit_export_and_play(const simulation::History& history, const config::Config& config) {
+  static const auto deployment = terms::deployment_of(config);
+  const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
+  for (const auto& replica : fleet.replicas) {
+    // So written that NaN fails too.
+    const bool is_sound = replica.cores >= 1 && replica.slowness > 0;
+    if (!is_sound) std::abort();
+  }
+  replay::export_scenario(history, deployment, fleet, config.kinds, "made", "g.xml");
+  if (is_small(history)) simulation::play(history, deployment, fleet, 1);
+}
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace ospreypost;
   static const auto config = test::small_config();
-  static const auto deployment = terms::deployment_of(config);
-  static const bool quiet = (google::protobuf::SetLogHandler(nullptr), true);
-  (void)quiet;
-  const std::string text(reinterpret_cast<const char*>(data), size);
-  kept::Block block;
-  if (!block.ParseFromString(text) && !google::protobuf::TextFormat::ParseFromString(text, &block)) return 0;
-  replay::HistoryReader reader;
-  kept::Entry begin;
-  begin.set_at(1);
-  begin.mutable_begin()->set_configuration(config.text);
-  reader.on_entry(begin);
-  for (const auto& entry : block.entries()) reader.on_entry(entry);
+  // The parser reports each text that it cannot read.
+  static auto* const default_log_handler = google::protobuf::SetLogHandler(nullptr);
+  static_cast<void>(default_log_handler);
+  const auto block = parse_block(std::string(reinterpret_cast<const char*>(data), size));
+  if (!block) return 0;
   try {
-    const auto history = reader.finish({});
-    const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
-    for (const auto& replica : fleet.replicas) {
-      if (!(replica.cores >= 1) || !(replica.slowness > 0)) std::abort();
-    }
-    replay::export_scenario(history, deployment, fleet, config.kinds, "made", "g.xml");
-    std::uint64_t operations = 0;
-    for (const auto& report : history.reports) {
-      for (const auto& asked : report.asked) operations += asked.operations;
-    }
-    if (operations <= kMostOperations && history.length <= kLongest)
-      simulation::play(history, deployment, fleet, 1);
+    fit_export_and_play(read_after_start(*block, config.text), config);
   } catch (const std::invalid_argument&) {
+    // What cannot be modelled is said plainly.
   } catch (const std::out_of_range&) {
     std::abort();
   }
