--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -12,7 +12,8 @@
 
 #include "config/config.h"
 #include "control_plane/controller_driver.h"
-#include "delivery/delivery_service.h"
+#include "delivery/pull_service.h"
+#include "delivery/push_service.h"
 #include "discovery/endpoint_list.h"
 #include "discovery/name_table.h"
 #include "dns/client_ttl_policy.h"
@@ -79,7 +80,7 @@
 
  private:
   void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& marks) override;
+                    const std::vector<RequestAcknowledgement>& marks) override;
   void on_ejection_changed(ReplicaId replica, bool out) override;
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool on) override;
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -6,7 +6,6 @@
 #include <memory>
 #include <optional>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "control_plane/controller_driver.h"
@@ -22,6 +21,7 @@
 #include "platform/stream_delivery.h"
 #include "platform/stream_event_router.h"
 #include "platform/stream_server.h"
+#include "policy/actions.h"
 #include "policy/controller.h"
 #include "routing_state/routing_state.h"
 
@@ -36,7 +36,7 @@
 /// Lock order: the watcher's lock that keeps lists in their order; then the lock of `ControllerDriver`, which
 /// is held during each call on the controller and so during the actions below; then one of the locks of
 /// `StreamDelivery`, `HealthChecker`, `RateLimitedLogger` or a thread pool, none of which is held while
-/// another lock is taken. The streams' thread holds no lock when it calls its handler.
+/// another one of these is taken. The streams' thread holds no lock when it calls its handler.
 class PlatformServer : private control_plane::ControllerFrontend {
  public:
   /// Throws `net::Error` if an address cannot be had. Serves from then on.
@@ -51,7 +51,7 @@
 
  private:
   void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
-                    const std::vector<std::pair<AckRequestId, bool>>& requests) override;
+                    const std::vector<RequestAcknowledgement>& requests) override;
   void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
   void watch_endpoint_list(bool) override {}
