--- a/src/delivery/endpoint_directory.h
+++ b/src/delivery/endpoint_directory.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/socket.h"
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::delivery {
 
--- a/src/dns/client_ttl_policy.h
+++ b/src/dns/client_ttl_policy.h
@@ -13,7 +13,7 @@
 #include <optional>
 #include <vector>
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::dns {
 
--- a/src/routing_state/routing_snapshot.h
+++ b/src/routing_state/routing_snapshot.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::routing_state {
 
--- a/src/routing_state/token_bucket_limiter.h
+++ b/src/routing_state/token_bucket_limiter.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-#include "policy/controller.h"
+#include "policy/types.h"
 
 namespace ospreypost::routing_state {
 
