--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -42,7 +42,7 @@
 
 void ControlPlane::on_published(Nanos now,
                                 const std::optional<routing_state::RoutingState::Publication>& published,
-                                const std::vector<std::pair<AckRequestId, bool>>& marks) {
+                                const std::vector<RequestAcknowledgement>& marks) {
   const bool out_changed = std::exchange(out_changed_, false);
   if (out_changed) publish_out(now);
   if (published) {
@@ -116,7 +116,7 @@
     auto& place = next->endpoints[at];
     place.name = change.name;
     place.removed = change.phase == EndpointPhase::gone;
-    if (change.backend) place.address = change.backend->address, place.zone = change.backend->zone;
+    if (change.endpoint) place.address = change.endpoint->address, place.zone = change.endpoint->zone;
     phases_[at] = change.phase;
   }
   out_changed_ = true;
@@ -134,20 +134,20 @@
     std::vector<EndpointUpdate> entries;
     for (const auto& change : taken.changes) {
       const auto id = replicas_.id_of(change.name);
-      if (static_cast<std::size_t>(id) >= before) governor.named(now, id, change.name);
+      if (static_cast<std::size_t>(id) >= before) governor.on_replica_named(now, id, change.name);
       EndpointUpdate entry;
       entry.replica = replicas_.id_of(change.name);
       entry.phase = change.phase;
-      if (change.backend) {
-        entry.zone = ZoneId{position(config_.zones, change.backend->zone)};
-        entry.kind = HardwareKindId{position(config_.kinds, change.backend->kind)};
-        entry.cell = cells_.id_of(change.backend->cell);
-        entry.weight = change.backend->weight;
+      if (change.endpoint) {
+        entry.zone = ZoneId{position(config_.zones, change.endpoint->zone)};
+        entry.kind = HardwareKindId{position(config_.kinds, change.endpoint->kind)};
+        entry.cell = cells_.id_of(change.endpoint->cell);
+        entry.weight = change.endpoint->weight;
         entry.started = change.started;
       }
       entries.push_back(entry);
     }
-    governor.on_endpoint_list(now, taken.first ? EndpointListKind::cached : EndpointListKind::changes,
+    governor.on_endpoint_list(now, taken.is_first_list ? EndpointListKind::cached : EndpointListKind::changes,
                               entries);
   });
 }
@@ -435,7 +435,7 @@
   const auto name_of = [this](ReplicaId id) {
     return static_cast<std::size_t>(id) < replicas_.size() ? std::string_view(replicas_.name(id)) : "";
   };
-  world_.log(with_name(line, name_of), version_->version);
+  world_.log(with_replica_name(line, name_of), version_->version);
 }
 
 }  // namespace ospreypost::control_plane
