--- a/src/delivery/pull_service.h
+++ b/src/delivery/pull_service.h
@@ -1,5 +1,5 @@
-/// What an edge that answers queries asks the control plane, and gets. Such an edge translates and decides
-/// nothing.
+/// What an edge that answers queries requests from the control plane, and gets. Such an edge translates and
+/// decides nothing.
 #pragma once
 
 #include <memory>
@@ -25,9 +25,9 @@
 class PullService {
  public:
   virtual ~PullService() = default;
-  /// A proxy asks for its table of a class.
+  /// A proxy queries its table of a class.
   virtual PullAnswer on_query(ProxyId proxy, ClassId cls) = 0;
-  /// A client asks for the fallback proxies of a zone.
+  /// A client queries the fallback proxies of a zone.
   virtual PullAnswer on_zone_query(ZoneId zone) = 0;
   /// Never null.
   virtual std::shared_ptr<const EndpointDirectory> directory() const = 0;
--- a/src/routing_state/pull_delivery.h
+++ b/src/routing_state/pull_delivery.h
@@ -1,10 +1,10 @@
 /// Which configuration each pulling proxy was last answered with, what waits for it, and whether it may be
 /// answered with something newer now. Free of I/O.
 ///
-/// Changes for a proxy that pulls wait, merged, until it asks. The first answer that carries a change counts
-/// as a message; answers that repeat what it already uses do not, whatever the number of names that it asks
-/// for. A token bucket for each proxy keeps the messages within their limit: a normal change waits for a full
-/// bucket, an urgent one, such as an ejection, only for a token.
+/// Changes for a proxy that pulls wait, merged, until it queries. The first answer that carries a change
+/// counts as a message; answers that repeat what it already uses do not, whatever the number of names that it
+/// queries. A token bucket for each proxy keeps the messages within their limit: a normal change waits for a
+/// full bucket, an urgent one, such as an ejection, only for a token.
 #pragma once
 
 #include <cstddef>
--- a/tests/program/pull_delivery_test.cpp
+++ b/tests/program/pull_delivery_test.cpp
@@ -35,7 +35,7 @@
   return 0;
 }
 
-// Whatever changes and whenever it is asked for: no window holds too many messages, no answer gives a replica
+// Whatever changes and whenever it is queried: no window holds too many messages, no answer gives a replica
 // a weight far above that of the latest table, and no queue is longer than the complete configuration.
 RC_GTEST_PROP(PullDeliveryTest, KeepsTheMessageLimitAndNeverAnswersWithEjectedReplicas, ()) {
   constexpr double kMessageOverhead = 2;
--- a/tests/program/routing_state_test.cpp
+++ b/tests/program/routing_state_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kClassCount = 2;
 constexpr std::uint16_t kProxyCount = 4;
 
-/// Keeps every action as it came, and works out from scratch what a proxy may use each time it is asked.
+/// Keeps every action as it came, and works out from scratch what a proxy may use each time.
 struct PlainRoutingState {
   std::map<TableId, std::map<ReplicaId, double>> tables;
   std::map<TableId, std::map<std::size_t, TrafficPolicy>> own_policies;
