--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -50,7 +50,7 @@
   void stop();
 
  private:
-  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Published>& published,
+  void on_published(Nanos now, const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<std::pair<AckRequestId, bool>>& requests) override;
   void on_ejection_changed(ReplicaId, bool) override {}
   void request_health_check(ReplicaId replica) override;
--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -37,7 +37,7 @@
 
 const Entries& entries_of(const std::shared_ptr<const RoutingTable>& table) {
   static const Entries no_entries;
-  return table ? table->lines : no_entries;
+  return table ? table->entries : no_entries;
 }
 
 bool have_same_entries(const std::shared_ptr<const RoutingTable>& one,
@@ -47,9 +47,9 @@
 
 bool has_entry(const RoutingTable& table, ReplicaId replica) {
   const auto entry =
-      std::lower_bound(table.lines.begin(), table.lines.end(), replica,
+      std::lower_bound(table.entries.begin(), table.entries.end(), replica,
                        [](const TableEntry& one, ReplicaId wanted) { return one.replica < wanted; });
-  return entry != table.lines.end() && entry->replica == replica;
+  return entry != table.entries.end() && entry->replica == replica;
 }
 
 // Where the entries of just these classes go, their policy goes along.
@@ -154,7 +154,7 @@
     push.classes = classes_alike(stream, cls);
     push.complete = !stream.written[cls].is_from_here;
     push.changes =
-        differences(push.complete ? Entries{} : entries_of(stream.written[cls].table), table->lines);
+        differences(push.complete ? Entries{} : entries_of(stream.written[cls].table), table->entries);
     for (const auto member : push.classes) {
       auto& written = stream.written[member];
       // A complete table brings its classes back to the default policy.
@@ -186,15 +186,15 @@
 void TableUpdateEncoder::push_policies(ProxyStream& stream, std::vector<TablePush>& pushes) const {
   const auto& published = stream.published->routing_tables;
   const auto differs = [&](std::size_t cls) {
-    return published[cls] && published[cls]->terms[cls] != stream.written[cls].policy;
+    return published[cls] && published[cls]->traffic_policies[cls] != stream.written[cls].policy;
   };
   for (std::size_t cls = 0; cls < class_names_.size(); ++cls) {
     if (!differs(cls)) continue;
-    const auto policy = published[cls]->terms[cls];
+    const auto policy = published[cls]->traffic_policies[cls];
     TablePush push;
     push.policy = policy;
     for (std::size_t other = cls; other < class_names_.size(); ++other) {
-      if (!differs(other) || published[other]->terms[other] != policy) continue;
+      if (!differs(other) || published[other]->traffic_policies[other] != policy) continue;
       push.classes.push_back(other);
       stream.written[other].policy = policy;
     }
--- a/tests/program/table_update_encoder_test.cpp
+++ b/tests/program/table_update_encoder_test.cpp
@@ -28,7 +28,7 @@
 // As a proxy has it: what it reads is text.
 struct PlainTable {
   std::map<std::string, double> weights;
-  std::string level = "1";
+  std::string admitted_fraction = "1";
   std::string retry_mode = "1";
 };
 
@@ -78,7 +78,7 @@
       if (fields.contains("full")) *table = {};
       apply_changes(changes, *table);
       if (!fields.contains("admit")) continue;
-      table->level = value_of(fields, "admit");
+      table->admitted_fraction = value_of(fields, "admit");
       table->retry_mode = value_of(fields, "policy");
     }
     entries += changes.size();
@@ -125,9 +125,9 @@
     const auto published = state_.publish(Nanos{});
     if (!published) return;
     snapshots_.clear();
-    for (const auto& [proxy, snapshot] : published->version->proxy_snapshots) snapshots_[proxy] = snapshot;
-    for (const auto& pending : published->pending)
-      encoder_.on_published(pending.proxy, snapshots_[pending.proxy]);
+    for (const auto& [proxy, snapshot] : published->snapshot->proxy_snapshots) snapshots_[proxy] = snapshot;
+    for (const auto& change : published->changes)
+      encoder_.on_published(change.proxy, snapshots_[change.proxy]);
   }
   // A proxy that reads slowly gets one message later, with all that is published by then.
   void deliver_to_some() {
@@ -164,7 +164,7 @@
     auto& plain = joined_[proxy];
     plain = {};
     plain.tables["read"].weights = {{"s-4", 3.0}};
-    plain.tables["sign"].level = "0.5";
+    plain.tables["sign"].admitted_fraction = "0.5";
     plain.tables["sign"].retry_mode = "3";
   }
   void leave(ProxyId proxy) {
@@ -183,10 +183,10 @@
                           std::size_t cls) {
     if (!published) return;
     std::map<std::string, double> weights;
-    for (const auto& entry : published->lines) weights[std::string(name_of(entry.replica))] = entry.weight;
+    for (const auto& entry : published->entries) weights[std::string(name_of(entry.replica))] = entry.weight;
     RC_ASSERT(plain.weights == weights);
-    RC_ASSERT(std::stod(plain.level) == published->terms[cls].level);
-    RC_ASSERT(plain.retry_mode == std::to_string(static_cast<int>(published->terms[cls].retry)));
+    RC_ASSERT(std::stod(plain.admitted_fraction) == published->traffic_policies[cls].admitted_fraction);
+    RC_ASSERT(plain.retry_mode == std::to_string(static_cast<int>(published->traffic_policies[cls].retry)));
   }
 
   routing_state::RoutingState state_{2};
@@ -244,7 +244,7 @@
   EXPECT_EQ(encoder.unused_replicas(both), both);
   const auto publish_entry = [&](ReplicaId replica, double weight) {
     state.set_table_entry(TableId{0}, replica, weight);
-    encoder.on_published(kProxy, state.publish(Nanos{})->version->snapshot_of(kProxy));
+    encoder.on_published(kProxy, state.publish(Nanos{})->snapshot->snapshot_of(kProxy));
   };
   state.add_proxy(kProxy);
   encoder.on_proxy_joined(kProxy);
