--- a/tests/program/discovery_watcher_test.cpp
+++ b/tests/program/discovery_watcher_test.cpp
@@ -92,7 +92,7 @@
     revisions_.push_back(list.revision);
     changed_.notify_all();
   }
-  void on_discovery_silent(const std::string&) override {}
+  void on_discovery_error(const std::string&) override {}
   bool wait_for(std::uint64_t revision) {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, 10s, [&] { return !revisions_.empty() && revisions_.back() == revision; });
@@ -108,10 +108,10 @@
   std::vector<std::uint64_t> revisions_;  // guarded by `mutex_`
 };
 
-DiscoveryWatcher::Waits waits(net::Steady::duration connect, net::Steady::duration silence) {
-  DiscoveryWatcher::Waits made;
+DiscoveryWatcher::Timeouts timeouts(net::Steady::duration connect, net::Steady::duration idle) {
+  DiscoveryWatcher::Timeouts made;
   made.connect = connect;
-  made.silence = silence;
+  made.idle = idle;
   return made;
 }
 
@@ -123,14 +123,14 @@
 
 TEST_F(DiscoveryWatcherTest, StopsWhileItConnects) {
   const FullListener full;
-  DiscoveryWatcher watcher(full.address(), kRevision, handler, waits(kNever, kNever));
+  DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
   full.wait_until_dialled();
   watcher.stop();
 }
 
 TEST_F(DiscoveryWatcherTest, MovesWhileItConnects) {
   const FullListener full;
-  DiscoveryWatcher watcher(full.address(), kRevision, handler, waits(kNever, kNever));
+  DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
   full.wait_until_dialled();
   FakeDiscovery other;
   watcher.move_to(net::Address::parse(other.address()));
@@ -152,9 +152,9 @@
 
 TEST_F(DiscoveryWatcherTest, RequestsTheCompleteListThoughARefreshCameWhileItConnects) {
   FullListener full;
-  DiscoveryWatcher watcher(full.address(), kRevision, handler, waits(kNever, kNever));
+  DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
   full.wait_until_dialled();
-  watcher.look();
+  watcher.refresh();
   const auto accepted = full.open();
   const auto request = receive_request(full);
   EXPECT_TRUE(request.starts_with("GET /registry/instances?watch=1 HTTP")) << request;
@@ -163,7 +163,7 @@
 TEST_F(DiscoveryWatcherTest, MovesAgainWhileTheFirstMoveConnects) {
   const FullListener first;
   const FullListener second;
-  DiscoveryWatcher watcher(first.address(), kRevision, handler, waits(kNever, kNever));
+  DiscoveryWatcher watcher(first.address(), kRevision, handler, timeouts(kNever, kNever));
   first.wait_until_dialled();
   watcher.move_to(second.address());
   second.wait_until_dialled();
@@ -178,7 +178,7 @@
 TEST_F(DiscoveryWatcherTest, DialsAgainAfterHalfALineAndSilence) {
   FakeDiscovery discovery;
   const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), kRevision, handler,
-                                 waits(10s, 100ms));
+                                 timeouts(10s, 100ms));
   discovery.next_watch();
   discovery.write("40\r\n{\"revision\":6,");
   EXPECT_EQ(discovery.next_watch(), kWatchAfterRevision);
@@ -204,7 +204,7 @@
        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n", "HTTP/1.1 200 OK\r\nX-Pad: "}) {
     FakeDiscovery discovery;
     const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), kRevision, handler,
-                                   waits(10s, 200ms));
+                                   timeouts(10s, 200ms));
     discovery.next_request();
     EXPECT_TRUE(is_left_during_trickle(discovery, head)) << "before the line or the header ended";
   }
@@ -221,9 +221,9 @@
 
 TEST_F(DiscoveryWatcherTest, StartsOverWithAServerThatStaysBehind) {
   FakeDiscovery discovery;
-  auto short_waits = waits(10s, 10s);
-  short_waits.behind = 50ms;
-  const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), 41, handler, short_waits);
+  auto short_timeouts = timeouts(10s, 10s);
+  short_timeouts.stale = 50ms;
+  const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), 41, handler, short_timeouts);
   discovery.next_watch();
   discovery.send_line(endpoint_list(7, true, endpoint_entry("a")));
   std::this_thread::sleep_for(60ms);
@@ -245,8 +245,8 @@
       endpoint_list(1, true,
                     endpoint_entry("a") + R"(,{"id":7},)" + endpoint_entry("b", "DANCING") + "," +
                         endpoint_entry("a") + "," + endpoint_entry("c", "SERVING", "nowhere")));
-  EXPECT_EQ(list.members.size(), 1U);
-  EXPECT_EQ(list.refused, 4U);
+  EXPECT_EQ(list.entries.size(), 1U);
+  EXPECT_EQ(list.rejected, 4U);
 }
 
 }  // namespace
