--- a/src/control_plane/log_lines.cpp
+++ b/src/control_plane/log_lines.cpp
@@ -16,7 +16,7 @@
 
 std::string with_replica_name(std::string_view line,
                               const std::function<std::string_view(ReplicaId)>& name_of) {
-  constexpr std::string_view kPrefix = "replica ";
+  constexpr std::string_view kPrefix = "replica=";
   std::string named(line);
   const auto prefix = named.find(kPrefix);
   if (prefix == std::string::npos) return named;
--- a/src/policy/endpoint_membership.cpp
+++ b/src/policy/endpoint_membership.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 #include <set>
-#include <string>
 
+#include "policy/log_events.h"
 #include "policy/outlier_detector.h"
 
 namespace ospreypost::policy {
@@ -78,7 +78,7 @@
   }
   const bool is_doubtful =
       !removal_is_binding_ && static_cast<double>(lost) > kMaxRemovedFraction * static_cast<double>(ready);
-  if (is_doubtful) actions.log("doubt the list: " + std::to_string(lost) + " dropped");
+  if (is_doubtful) actions.log(log_events::endpoint_list_doubted(lost));
   bool any_gone = false;
   for (const auto id : removed) {
     auto& replica = replicas_.at(id);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -2,13 +2,12 @@
 
 #include <algorithm>
 #include <cmath>
-#include <string>
+
+#include "policy/log_events.h"
 
 namespace ospreypost::policy {
 namespace {
 
-using namespace std::chrono_literals;
-
 /// Of a replica's attempts, so many must fail, above what the others see.
 constexpr double kTripFailureRatio = 0.5;
 /// And so many in number.
@@ -83,7 +82,7 @@
   if (replica.endpoint.removal_doubted) replica.endpoint.phase = EndpointPhase::gone;
   const Nanos cooldown = replica.breaker.trip(clock_.now());
   replica.added.reset();
-  actions_.log("trip " + name_of(id) + " for " + std::to_string(cooldown / 1ms) + " ms");
+  actions_.log(log_events::breaker_opened(id, cooldown));
 }
 
 void OutlierDetector::half_open(ReplicaId id, Replica& replica) const {
@@ -91,12 +90,13 @@
   // Reports that arrive now were counted before the change that we answer them with.
   replica.outcomes = {};
   replica.outcomes_count_from = clock_.now() + from_seconds(clock_.report_span_seconds()) + message_delay_;
-  actions_.log("half-open " + name_of(id));
+  actions_.log(log_events::breaker_half_opened(id));
 }
 
 void OutlierDetector::confirm(ReplicaId id, Replica& replica) const {
   if (!replica.breaker.is_half_open()) return;
-  if (replica.breaker.confirm(clock_.now(), replica.outcomes.successes)) actions_.log("close " + name_of(id));
+  const bool closed = replica.breaker.confirm(clock_.now(), replica.outcomes.successes);
+  if (closed) actions_.log(log_events::breaker_closed(id));
 }
 
 ReplicaMap::value_type* OutlierDetector::find_unserved(ReplicaMap& replicas, const RoutingGroup& group,
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -4,7 +4,6 @@
 #include <cstddef>
 #include <map>
 #include <optional>
-#include <string>
 
 #include "policy/circuit_breaker.h"
 #include "policy/evidence.h"
@@ -45,9 +44,4 @@
 
 using ReplicaMap = std::map<ReplicaId, Replica>;
 
-/// As log lines name a replica.
-inline std::string name_of(ReplicaId id) {
-  return "replica " + std::to_string(static_cast<std::uint32_t>(id));
-}
-
 }  // namespace ospreypost::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,7 +1,8 @@
 #include "policy/slow_start.h"
 
 #include <algorithm>
-#include <string>
+
+#include "policy/log_events.h"
 
 namespace ospreypost::policy {
 namespace {
@@ -64,7 +65,7 @@
     const double congestion = (attempts_per_success[zone] - 1) / (overload_multiple_ - 1);
     const bool hold = congestion > (holds_[zone] ? kReleaseCongestion : kHoldCongestion);
     if (hold != holds_[zone]) {
-      actions.log((hold ? "hold cold in zone " : "release cold in zone ") + std::to_string(zone));
+      actions.log(hold ? log_events::warm_up_held(zone) : log_events::warm_up_released(zone));
     }
     holds_[zone] = hold;
   }
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -68,7 +68,7 @@
 # Boost's distributions are headers: the same draws on any machine.
 ospreypost_package(simulation check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_day.cpp answer.cpp
   NEEDS ospreypost_routing_state ospreypost_client_ttl_policy ospreypost_checker)
-ospreypost_package(replay event_decoder.cpp replay.cpp plausibility.cpp report_assembler.cpp history.cpp pseudonyms.cpp
+ospreypost_package(replay event_decoder.cpp replay.cpp plausibility.cpp report_assembler.cpp log_translation.cpp history.cpp pseudonyms.cpp
   anonymise.cpp scenario_xml.cpp replica_names.cpp replica_faults.cpp service_faults.cpp export_scenario.cpp
   NEEDS ospreypost_record ospreypost_simulation ospreypost_config)
 ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_simulation ospreypost_net)
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -9,12 +9,22 @@
 #include "record/action_encoder.h"
 #include "record/reader.h"
 #include "replay/event_decoder.h"
+#include "replay/log_translation.h"
 
 namespace ospreypost::replay {
 namespace {
 
 using kept::Entry;
 
+// A record made by an earlier build may log the same in other words.
+Entry with_current_log_texts(const Entry& recorded) {
+  Entry entry = recorded;
+  for (auto& action : *entry.mutable_orders()) {
+    if (action.what_case() == kept::Order::kLog) action.set_log(current_log_text(action.log()));
+  }
+  return entry;
+}
+
 // Actions are compared and digested in the form in which they are stored.
 std::string serialized_action(const Entry& entry, int position) {
   std::string text;
@@ -49,7 +59,7 @@
   void on_action(const Action& action) override { record::encode_action(action, replayed_); }
 
   void start_incarnation(const Entry& entry);
-  void compare_actions(const Entry& entry);
+  void compare_actions(const Entry& recorded_entry);
   void report_difference(const Entry& entry, int position);
 
   const Options& options_;
@@ -83,7 +93,8 @@
   ++result_.incarnations;
 }
 
-void Replayer::compare_actions(const Entry& entry) {
+void Replayer::compare_actions(const Entry& recorded_entry) {
+  const Entry entry = with_current_log_texts(recorded_entry);
   const int actions = std::max(entry.orders_size(), replayed_.orders_size());
   for (int position = 0; position < actions; ++position) {
     const std::string recorded = serialized_action(entry, position);
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -180,7 +180,7 @@
   for (int second = 0; second < 4; ++second) fixture.run_second({{1, 4}, {7, 4}, {4, 4}});
   EXPECT_TRUE(fixture.proxies.ejected.contains(kFaultyReplica));
   EXPECT_EQ(
-      std::count(fixture.proxies.log_lines.begin(), fixture.proxies.log_lines.end(), "hold cold in zone 1"),
+      std::count(fixture.proxies.log_lines.begin(), fixture.proxies.log_lines.end(), "warm_up_held zone=1"),
       1);
 }
 
@@ -336,7 +336,7 @@
   ControllerFixture fixture;
   for (int second = 0; second < 5; ++second) fixture.run_second({{4, 3}}, 0, 3, 0.5F, 4s);
   EXPECT_NE(std::count(fixture.proxies.log_lines.begin(), fixture.proxies.log_lines.end(),
-                       "trip replica 4 for 2000 ms"),
+                       "breaker_opened replica=4 cooldown_ms=2000"),
             0);
 }
 
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -100,7 +100,7 @@
   fleet.clock.advance(100s + kConfirmWindow);
   fleet.evaluate();
   EXPECT_TRUE(replica.breaker.is_closed());
-  EXPECT_EQ(fleet.sink.logged.back(), "close replica 4");
+  EXPECT_EQ(fleet.sink.logged.back(), "breaker_closed replica=4");
 }
 
 TEST(OutlierDetectorTest, RestoresTheReplicaThatIsDueFirstWhereNoneServes) {
--- a/tests/program/log_lines_test.cpp
+++ b/tests/program/log_lines_test.cpp
@@ -24,18 +24,20 @@
 }
 
 TEST(WithReplicaNameTest, ReplacesTheNumberByTheName) {
-  EXPECT_EQ(named("trip replica 12"), "trip replica unit-a");
-  EXPECT_EQ(named("trip replica 12: 3 of 4"), "trip replica unit-a: 3 of 4");
+  EXPECT_EQ(named("breaker_closed replica=12"), "breaker_closed replica=unit-a");
+  EXPECT_EQ(named("breaker_opened replica=12 cooldown_ms=2000"),
+            "breaker_opened replica=unit-a cooldown_ms=2000");
 }
 
 TEST(WithReplicaNameTest, LeavesWhatHasNoName) {
-  EXPECT_EQ(named("trip replica 120: 3 of 4"), "trip replica 120: 3 of 4");
-  EXPECT_EQ(named("hold cold in zone 12"), "hold cold in zone 12");
+  EXPECT_EQ(named("breaker_opened replica=120 cooldown_ms=2000"),
+            "breaker_opened replica=120 cooldown_ms=2000");
+  EXPECT_EQ(named("warm_up_held zone=12"), "warm_up_held zone=12");
   EXPECT_EQ(named(""), "");
 }
 
 TEST(WithReplicaNameTest, ReplacesTheFirstNumberOnly) {
-  EXPECT_EQ(named("replica 12 after replica 12"), "replica unit-a after replica 12");
+  EXPECT_EQ(named("replica=12 after replica=12"), "replica=unit-a after replica=12");
 }
 
 struct RateLimitedLoggerTest : testing::Test {
