--- a/src/routing_state/push_scheduler.h
+++ b/src/routing_state/push_scheduler.h
@@ -38,8 +38,8 @@
   bool overrides_rollback = false;                      ///< replaces tables that were rolled back by hand
 };
 
-/// Not synchronised: the owner calls it under a lock. Methods that name a proxy throw std::out_of_range for
-/// an unknown one unless they say otherwise.
+/// Not synchronised: the owner calls it under a lock. `on_joined`, `on_liveness` and `on_rollback` throw
+/// std::out_of_range for a proxy that was not added.
 class PushScheduler {
  public:
   explicit PushScheduler(const PushLimits& limits);
