--- a/src/platform/stream_delivery.cpp
+++ b/src/platform/stream_delivery.cpp
@@ -34,8 +34,8 @@
   const std::lock_guard lock(mutex_);
   if (published) {
     snapshot_ = published->snapshot;
-    for (const auto& pending : published->changes)
-      encoder_.on_published(pending.proxy, snapshot_->snapshot_of(pending.proxy));
+    for (const auto& change : published->changes)
+      encoder_.on_published(change.proxy, snapshot_->snapshot_of(change.proxy));
   }
   for (const auto& [request, all_proxies] : requests) {
     for (const auto proxy : snapshot_->acknowledgement_recipients(all_proxies))
