--- a/src/replay/replica_faults.cpp
+++ b/src/replay/replica_faults.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <map>
 #include <optional>
-#include <ranges>
 #include <string_view>
 #include <vector>
 
@@ -95,11 +94,11 @@
   Nanos crash_time(ReplicaId replica, Nanos listed_at) const {
     Nanos crashed_at = listed_at;
     const auto& spells = source_.fleet.replicas[static_cast<std::size_t>(replica)].spells;
-    for (const auto& spell : std::views::reverse(spells)) {
+    std::for_each(spells.rbegin(), spells.rend(), [&](const simulation::Spell& spell) {
       const bool leads_to_crash = spell.from < crashed_at && spell.to >= crashed_at;
       if (leads_to_crash && spell.fails >= kMinFaultFailureRatio)
         crashed_at = std::max(spell.from, listed_at - kMaxCrashNotice);
-    }
+    });
     return crashed_at;
   }
 
