--- a/src/platform/endpoint_list_intake.h
+++ b/src/platform/endpoint_list_intake.h
@@ -35,6 +35,7 @@
 
   /// Applies the list that was known before the start, if it can be read. Returns its revision, or 0.
   std::uint64_t apply_cached(const std::string& text);
+  /// Applies a list of the watcher.
   void on_endpoint_list_update(const discovery::EndpointListUpdate& list) override;
   void on_discovery_error(const std::string& why) override;
 
--- a/src/platform/gossip_channel.h
+++ b/src/platform/gossip_channel.h
@@ -24,6 +24,7 @@
   GossipChannel(const net::Address& listen, std::vector<net::Address> peers, net::Address all_peers,
                 MessageCallback on_message);
   ~GossipChannel() { stop(); }
+  /// Where peers send to, with the port that the system chose if none was given.
   net::Address address() const { return net::local_address(socket_); }
   /// Sends to one peer, or to every one where none is named. False, and nothing is sent, if the peer is
   /// unknown or the message is longer than the platform permits. From any thread.
--- a/src/platform/messages.h
+++ b/src/platform/messages.h
@@ -34,11 +34,15 @@
 class MessageHandler {
  public:
   virtual ~MessageHandler() = default;
+  /// The sender is to get an answer at once.
   virtual void on_liveness_request() = 0;
   /// `newly_added`: the proxy holds no tables yet.
   virtual void on_proxy_hello(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) = 0;
+  /// The sender collects the reports of the proxies in that zone.
   virtual void on_collector_hello(ZoneId zone) = 0;
+  /// What the proxies of one zone measured at one replica.
   virtual void on_replica_load_report(const ReplicaLoadReport& report) = 0;
+  /// The requests that arrived at the proxy.
   virtual void on_demand_report(ProxyId proxy, const DemandReport& report) = 0;
   /// `nonce`: of the request that is answered; `elapsed`: since that was sent, by the proxy's clock.
   virtual void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos elapsed) = 0;
--- a/src/platform/stream_delivery.h
+++ b/src/platform/stream_delivery.h
@@ -36,6 +36,7 @@
   void on_published(const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<RequestAcknowledgement>& requests);
 
+  /// A new stream, and the end of one, as `TableUpdateEncoder` takes them.
   void on_proxy_joined(ProxyId proxy);
   void on_proxy_left(ProxyId proxy);
   /// The requests that the answer settles.
--- a/src/platform/stream_server.h
+++ b/src/platform/stream_server.h
@@ -28,7 +28,9 @@
   virtual ~StreamEventHandler() = default;
   /// `newly_added`: the proxy holds no tables yet.
   virtual void on_proxy_joined(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) = 0;
+  /// The proxy's stream ended, and the proxy has no newer one.
   virtual void on_proxy_left(ProxyId proxy) = 0;
+  /// The reports and acknowledgements of one message each, as `MessageHandler` receives them.
   virtual void on_replica_load_report(const ReplicaLoadReport& report) = 0;
   virtual void on_demand_report(ProxyId proxy, const DemandReport& report) = 0;
   virtual void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos elapsed) = 0;
@@ -48,6 +50,7 @@
   StreamServer(const net::Address& listen, std::size_t max_connections, MessageNames names,
                StreamEventHandler& handler);
   ~StreamServer() { stop(); }
+  /// Where peers connect, with the port that the system chose if none was given.
   net::Address address() const { return net::local_address(listener_); }
   /// There may be something to write. From any thread.
   void wake() { poller_.wake(); }
--- a/src/platform/table_update_encoder.h
+++ b/src/platform/table_update_encoder.h
@@ -1,8 +1,8 @@
 /// What was last written to each proxy on its stream, and the one message that brings the proxy to what is
 /// published now. No I/O.
 ///
-/// A replica that is ejected is taken out of the tables that are written. A proxy is never told to eject one
-/// by itself, as that would outlive its stream and bind it under other control plane instances.
+/// A replica that is ejected is taken out of the tables that are written. A proxy is never instructed to
+/// eject one by itself, as that would outlive its stream and bind it under other control plane instances.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 
 namespace ospreypost::platform {
 
-/// Not thread-safe.
+/// Decides what a stream has to carry next. Not thread-safe.
 class TableUpdateEncoder {
  public:
   /// `class_names`: in the order of the settings; `default_retry`: the mode of a proxy that received none.
@@ -27,6 +27,7 @@
 
   /// A new stream: whatever was written on another one counts for nothing.
   void on_proxy_joined(ProxyId proxy);
+  /// The end of its stream: nothing is due to the proxy any more.
   void on_proxy_left(ProxyId proxy);
   /// What the proxy is to have from now on. Does nothing for a proxy without a stream, or without a snapshot.
   void on_published(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> snapshot);
--- a/tests/program/gossip_channel_test.cpp
+++ b/tests/program/gossip_channel_test.cpp
@@ -1,4 +1,4 @@
-/// Gossip on loopback: who is heard, and how long a message may be.
+/// Gossip on loopback: whose messages are received, and how long one may be.
 #include "platform/gossip_channel.h"
 
 #include <gtest/gtest.h>
--- a/tests/program/stream_server_test.cpp
+++ b/tests/program/stream_server_test.cpp
@@ -35,7 +35,7 @@
 using test::request_liveness;
 using test::Words;
 
-// Notes what it is told, and holds the server's thread while a test arranges what that will find.
+// Records each event, and holds the server's thread while a test arranges what that will find.
 class PausingHandler : public StreamEventHandler {
  public:
   void on_proxy_joined(ProxyId proxy, ZoneId, double, bool) override {
