--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -54,10 +54,11 @@
   void log(std::string_view, routing_state::SnapshotVersion) override {}
 };
 
-// The module alone, with a host that drops its orders: what the same sums cost without book, lock and
-// versions.
-struct Deaf : test::DeafHost {
-  void start_timer(Nanos from_now, TimerId timer) override { due.emplace_back(at + from_now, timer); }
+// The controller alone, with a handler that ignores its actions: what the same reports cost without routing
+// state, lock and snapshots.
+struct Deaf : test::IgnoringHandler {
+  using ActionHandler::handle;
+  void handle(const StartTimer& action) override { due.emplace_back(at + action.delay, action.timer); }
   Nanos at{};
   std::vector<std::pair<Nanos, TimerId>> due;
 };
@@ -124,7 +125,7 @@
     return live.on_query(ProxyId{static_cast<std::uint16_t>(p)}, ClassId{0});
   };
   const auto begun_joining = now();
-  for (std::size_t p = 0; p < proxies; ++p) on_query(p);
+  for (std::size_t p = 0; p < proxies; ++p) asked(p);
   std::printf("%zu replicas, %zu proxies: all joined within %.3f s\n", replicas, proxies,
               std::chrono::duration<double>(now() - begun_joining).count());
 
@@ -143,11 +144,11 @@
         const timespec wait{0, std::min<long>(1'000'000, std::max<long>(1, (due - now()).count()))};
         nanosleep(&wait, nullptr);
       }
-      const auto told = on_query(p);
+      const auto told = asked(p);
       const ProxyId id{static_cast<std::uint16_t>(p)};
       live.on_report(id);
       if (told.proxy_snapshot && told.proxy_snapshot->routing_tables[0]) {
-        lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->lines.size());
+        lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->entries.size());
         for (const auto& line : told.proxy_snapshot->routing_tables[0]->lines) {
           ReplicaLoadReport sum{config.proxies.known[p].zone,
                                 line.replica,
