--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -149,7 +149,7 @@
       live.on_report(id);
       if (told.proxy_snapshot && told.proxy_snapshot->routing_tables[0]) {
         lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->entries.size());
-        for (const auto& line : told.proxy_snapshot->routing_tables[0]->lines) {
+        for (const auto& line : told.proxy_snapshot->routing_tables[0]->entries) {
           ReplicaLoadReport sum{config.proxies.known[p].zone,
                                 line.replica,
                                 static_cast<std::uint32_t>(1 + chance() % 3),
