--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -132,7 +132,7 @@
       if (proxy_snapshot) push_proxies_.resend(now, proxy, std::move(proxy_snapshot));
       return;
     }
-    host_.log((joined ? "join " : "leave ") + entry.name, published_.version());
+    host_.log((joined ? "proxy_joined proxy=" : "proxy_left proxy=") + entry.name, published_.version());
     if (joined) {
       announced_proxies_.insert(proxy);
       routing_state.add_proxy(proxy);
--- a/src/control_plane/control_plane_server.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -127,7 +127,7 @@
 
 void ControlPlaneServer::on_endpoint_list_changed(const discovery::EndpointList::Changes& changes) {
   for (const auto& change : changes.changes) {
-    log_->info("list replica={} phase={}", change.name, name_of(change.phase));
+    log_->info("endpoint_changed replica={} phase={}", change.name, name_of(change.phase));
   }
   control_plane_->on_endpoint_list_changed(changes);
 }
@@ -135,7 +135,7 @@
 // That no list can be read does not mean that no endpoint is left: the last good list stays in force, and the
 // controller, which could do nothing about it, is not notified.
 void ControlPlaneServer::on_endpoint_list_unreadable(const std::string& why) {
-  log_->warn("no news of the list: {}", why);
+  log_->warn("endpoint_list_unavailable error={}", why);
 }
 
 // --- Load reports
--- a/src/control_plane/http_api.cpp
+++ b/src/control_plane/http_api.cpp
@@ -135,7 +135,7 @@
   try {
     const auto unroutable = targets_.control_plane.unroutable_replicas();
     const auto state = pusher->roll_back(*proxy, request->version, unroutable);
-    log_->warn("rolled back {} to version {} by hand", request->proxy_name, request->version);
+    log_->warn("table_rolled_back proxy={} version={}", request->proxy_name, request->version);
     return json_response(200, files::write_state(state));
   } catch (const net::Error& error) {
     return text_response(409, std::string(error.what()) + "\n");
--- a/src/control_plane/push_proxies.cpp
+++ b/src/control_plane/push_proxies.cpp
@@ -140,7 +140,7 @@
   if (last_faults_[proxy] == why) return;
   last_faults_[proxy] = why;
   const auto& name = environment_.config.proxies.known[static_cast<std::size_t>(proxy)].name;
-  environment_.host.log("push to " + name + " failed: " + why, environment_.published.version());
+  environment_.host.log("push_failed proxy=" + name + " error=" + why, environment_.published.version());
 }
 
 // --- What lies at the proxies
--- a/src/discovery/endpoint_file_source.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -45,7 +45,7 @@
 std::string text_of(const json& entry, const char* key, const std::string& otherwise) {
   const auto found = entry.find(key);
   if (found == entry.end()) return otherwise;
-  if (!found->is_string()) throw net::Error(std::string("the roll's ") + key + " is no text");
+  if (!found->is_string()) throw net::Error(std::string("the endpoint file's ") + key + " is no text");
   return found->get<std::string>();
 }
 
@@ -82,12 +82,12 @@
 }
 
 Endpoint parse_endpoint(const json& entry, const config::Config& config) {
-  if (!entry.is_object()) throw net::Error("the roll holds an entry that is no object");
+  if (!entry.is_object()) throw net::Error("the endpoint file holds an entry that is no object");
   Endpoint endpoint;
   endpoint.name = text_of(entry, "name", "");
   if (!is_dns_label(endpoint.name))
-    throw net::Error("the roll's name '" + endpoint.name + "' is no label of a DNS name");
-  const auto error_prefix = "the roll's " + endpoint.name + ": ";
+    throw net::Error("the endpoint file's name '" + endpoint.name + "' is no label of a DNS name");
+  const auto error_prefix = "the endpoint file's " + endpoint.name + ": ";
   endpoint.zone = text_of(entry, "zone", "");
   if (!contains(config.zones, endpoint.zone))
     throw net::Error(error_prefix + "unknown zone '" + endpoint.zone + "'");
@@ -109,12 +109,12 @@
 }  // namespace
 
 std::vector<Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config) {
-  if (text.size() > kMaxFileBytes) throw net::Error("the roll is longer than 16 MiB");
+  if (text.size() > kMaxFileBytes) throw net::Error("the endpoint file is longer than 16 MiB");
   const auto document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) throw net::Error("the roll is no JSON, or only half of one");
+  if (document.is_discarded()) throw net::Error("the endpoint file is no JSON, or only half of one");
   const auto entries = document.is_object() ? document.find("backends") : document.end();
   if (!document.is_object() || entries == document.end() || !entries->is_array())
-    throw net::Error("the roll has no list of backends");
+    throw net::Error("the endpoint file has no list of backends");
   std::vector<Endpoint> endpoints;
   for (const auto& entry : *entries) endpoints.push_back(parse_endpoint(entry, config));
   return endpoints;
@@ -157,7 +157,7 @@
 
 void EndpointFileSource::read_if_changed() {
   struct stat status {};
-  if (::stat(config_.roll.path.c_str(), &status) != 0) throw net::Error("the roll is not there");
+  if (::stat(config_.roll.path.c_str(), &status) != 0) throw net::Error("the endpoint file is not there");
   const FileStamp stamp{status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size, status.st_ino};
   if (stamp == last_stamp_ && !refresh_requested_.exchange(false)) return;
   const auto read_at = clock_();
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -33,15 +33,15 @@
 
 EndpointList::Changes EndpointList::update(Nanos read_at, WallTime wall_time,
                                            std::vector<Endpoint> endpoints) {
-  if (endpoints.empty()) throw net::Error("the roll names nobody");
+  if (endpoints.empty()) throw net::Error("the endpoint file names nobody");
   std::map<std::string, KnownEndpoint> next;
   Changes changes{!has_list_, {}};
   for (auto& listed : endpoints) {
-    if (listed.name.empty()) throw net::Error("the roll holds a backend without a name");
+    if (listed.name.empty()) throw net::Error("the endpoint file holds an endpoint without a name");
     const auto started = start_of(listed, read_at, wall_time);
     const std::string name = listed.name;
     const auto [entry, is_new] = next.try_emplace(name, KnownEndpoint{std::move(listed), started});
-    if (!is_new) throw net::Error("the roll names " + name + " twice");
+    if (!is_new) throw net::Error("the endpoint file names " + name + " twice");
     const Endpoint& endpoint = entry->second.endpoint;
     if (!is_changed(endpoint)) continue;
     const auto phase = endpoint.draining ? EndpointPhase::draining : EndpointPhase::ready;
--- a/src/platform/endpoint_list_intake.cpp
+++ b/src/platform/endpoint_list_intake.cpp
@@ -30,7 +30,7 @@
 const char* phase_text(EndpointPhase phase, bool warming_up) {
   switch (phase) {
     case EndpointPhase::ready:
-      return warming_up ? "ready, cold" : "ready";
+      return warming_up ? "warming_up" : "ready";
     case EndpointPhase::draining:
       return "draining";
     case EndpointPhase::gone:
@@ -65,7 +65,7 @@
 }
 
 void EndpointListIntake::on_discovery_error(const std::string& why) {
-  targets_.errors.add("no news of the list: " + why);
+  targets_.errors.add("endpoint list unavailable: " + why);
 }
 
 void EndpointListIntake::apply(const discovery::EndpointListUpdate& list, Source source) {
@@ -93,11 +93,12 @@
       ready += 1;
       warming_up += recent ? 1 : 0;
     }
-    if (!list.complete) log_->info("list replica={} phase={}", entry.name, phase_text(entry.phase, recent));
+    if (!list.complete)
+      log_->info("endpoint_changed replica={} phase={}", entry.name, phase_text(entry.phase, recent));
   }
   if (!list.complete) return;
-  log_->info("{} list of {}: {} ready, {} of them cold", source == Source::cached ? "known" : "whole",
-             list.entries.size(), ready, warming_up);
+  log_->info("endpoint_list_received source={} entries={} ready={} warming_up={}",
+             source == Source::cached ? "cached" : "discovery", list.entries.size(), ready, warming_up);
 }
 
 }  // namespace ospreypost::platform
--- a/tests/program/discovery_test.cpp
+++ b/tests/program/discovery_test.cpp
@@ -77,14 +77,14 @@
   const std::string good = R"({"name":"a","zone":"east","address":"127.0.0.1:1"})";
   EXPECT_EQ(error_of(good), "none");
   EXPECT_EQ(error_of(R"({"name":"A.b","zone":"east","address":"127.0.0.1:1"})"),
-            "the roll's name 'A.b' is no label of a DNS name");
+            "the endpoint file's name 'A.b' is no label of a DNS name");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"moon","address":"127.0.0.1:1"})"),
-            "the roll's a: unknown zone 'moon'");
+            "the endpoint file's a: unknown zone 'moon'");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"nowhere"})"),
             "'nowhere' is not an address and a port");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"127.0.0.1:1","weight":0})"),
-            "the roll's a: weight must be above 0");
-  EXPECT_EQ(error_of(good + ","), "the roll is no JSON, or only half of one");
+            "the endpoint file's a: weight must be above 0");
+  EXPECT_EQ(error_of(good + ","), "the endpoint file is no JSON, or only half of one");
 }
 
 TEST(EndpointFileSourceTest, ReadsAStartToTheMicrosecond) {
