--- a/src/control_plane/health_checker.cpp
+++ b/src/control_plane/health_checker.cpp
@@ -1,12 +1,12 @@
 #include "control_plane/health_checker.h"
 
 #include <cstddef>
-#include <exception>
+#include <string_view>
 #include <utility>
 
 #include "config/config.h"
+#include "control_plane/health_check.h"
 #include "control_plane/status.h"
-#include "http/http.h"
 #include "net/socket.h"
 #include "policy/observations.h"
 #include "policy/types.h"
@@ -16,8 +16,6 @@
 
 constexpr std::size_t kMaxConcurrentChecks = 4;
 constexpr std::size_t kMaxWaitingChecks = 1000;
-constexpr unsigned kStatusOk = 200;
-constexpr unsigned kStatusUnavailable = 503;
 
 }  // namespace
 
@@ -31,21 +29,12 @@
 }
 
 HealthCheckResult HealthChecker::check(ReplicaId replica, const net::Address& address) const {
-  HealthCheckResult result;
-  result.replica = replica;
-  const auto started = net::Steady::now();
-  try {
-    http::Request request;
-    request.target = config_.reports.probe_path;
-    const auto response = http::fetch(address, request, started + config_.reports.probe_timeout);
-    result.refused = response.status == kStatusUnavailable;
-    result.answered = response.status == kStatusOk;
-    if (result.answered) result.load = parse_load(response.body, config_.settings.load_columns);
-  } catch (const std::exception&) {
-    // That no answer came is a result like any other.
-  }
-  result.took = net::Steady::now() - started;
-  return result;
+  const auto parse = [this](std::string_view body) {
+    return parse_load(body, config_.settings.load_columns);
+  };
+  const HealthCheckRequest request{replica, address, config_.reports.probe_path,
+                                   config_.reports.probe_timeout};
+  return run_health_check(request, parse, nullptr);
 }
 
 }  // namespace ospreypost::control_plane
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -2,14 +2,14 @@
 
 #include <chrono>
 #include <cstddef>
-#include <exception>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
-#include "http/http.h"
+#include "control_plane/health_check.h"
 #include "net/socket.h"
 #include "platform/messages.h"
 #include "policy/controller.h"
@@ -23,9 +23,7 @@
 constexpr std::size_t kMaxWaitingChecks = 65536;
 constexpr std::size_t kThreadStackBytes = std::size_t{64} * 1024;
 constexpr auto kCheckTimeout = 500ms;
-constexpr std::string_view kHealthPath = "/stats";
-constexpr int kStatusOk = 200;
-constexpr int kStatusUnavailable = 503;
+constexpr const char* kHealthPath = "/stats";
 
 }  // namespace
 
@@ -58,29 +56,19 @@
     const std::lock_guard lock(mutex_);
     waiting_.erase(replica);
   }
-  const auto result = fetch_result(replica, address);
+  const auto result = control_plane::run_health_check(
+      {replica, address, kHealthPath, kCheckTimeout},
+      [this](std::string_view body) { return parse_load(body); }, &cancellation_);
   if (!cancelled_) on_result_(result);
 }
 
-HealthCheckResult HealthChecker::fetch_result(ReplicaId replica, const net::Address& address) {
-  HealthCheckResult result;
-  result.replica = replica;
-  const auto started = net::Steady::now();
+std::optional<std::vector<float>> HealthChecker::parse_load(std::string_view body) const {
   try {
-    http::Request request;
-    request.target = kHealthPath;
-    const auto response = http::fetch(address, request, started + kCheckTimeout, &cancellation_);
-    result.refused = response.status == kStatusUnavailable;
-    result.answered = response.status == kStatusOk;
-    if (result.answered) result.load = parse_load_report(response.body, load_columns_);
+    return parse_load_report(body, load_columns_);
   } catch (const MessageError& error) {
     on_error_("a load report was dropped: " + std::string(error.what()));
-    result.answered = false;
-  } catch (const std::exception&) {
-    // Whatever kept the answer from coming, the outcome is that there is none: it is reported like any other.
+    return std::nullopt;
   }
-  result.took = net::Steady::now() - started;
-  return result;
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -5,8 +5,10 @@
 #include <cstddef>
 #include <functional>
 #include <mutex>
+#include <optional>
 #include <set>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "net/cancellation_event.h"
@@ -41,7 +43,7 @@
 
  private:
   void check(ReplicaId replica, const net::Address& address);
-  HealthCheckResult fetch_result(ReplicaId replica, const net::Address& address);
+  std::optional<std::vector<float>> parse_load(std::string_view body) const;
 
   const std::vector<std::string> load_columns_;
   const ResultCallback on_result_;
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -57,7 +57,7 @@
   recording_controller.cpp output_folder.cpp record_copier.cpp timed_visitor.cpp summary.cpp dump.cpp edit.cpp
   NEEDS ospreypost_record_schema ospreypost_net ospreypost_policy PkgConfig::ZSTD PkgConfig::XXHASH)
 ospreypost_package(control_plane controller_driver.cpp log_lines.cpp published_state.cpp endpoint_directory_keeper.cpp
-  pull_proxies.cpp push_proxies.cpp control_plane.cpp status.cpp health_checker.cpp http_api.cpp control_plane_server.cpp
+  pull_proxies.cpp push_proxies.cpp control_plane.cpp status.cpp health_check.cpp health_checker.cpp http_api.cpp control_plane_server.cpp
   NEEDS ospreypost_routing_state ospreypost_discovery ospreypost_load_reports ospreypost_dns ospreypost_files
         ospreypost_record ospreypost_http spdlog::spdlog)
 ospreypost_package(platform platform_config.cpp messages.cpp table_push.cpp table_update_encoder.cpp endpoint_registry.cpp
