--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -56,7 +56,7 @@
 
 // The controller alone, with a handler that ignores its actions: what the same reports cost without routing
 // state, lock and snapshots.
-struct Deaf : test::IgnoringHandler {
+struct Deaf : ActionHandler {
   using ActionHandler::handle;
   void handle(const StartTimer& action) override { due.emplace_back(at + action.delay, action.timer); }
   Nanos at{};
--- a/tests/policy/control_channel_test.cpp
+++ b/tests/policy/control_channel_test.cpp
@@ -19,19 +19,22 @@
   return settings;
 }
 
-TEST(ControlChannelTest, BeforeAnyAcknowledgementItDrainsAtHalfItsPace) {
-  ControlChannel channel(channel_settings());
-  channel.queued_entries(100s);
+class ControlChannelTest : public ::testing::Test {
+ protected:
+  ControlChannelTest() { channel.queued_entries(100s); }
+
+  ControlChannel channel{channel_settings()};
+  RecordingSink sink;
+};
+
+TEST_F(ControlChannelTest, BeforeAnyAcknowledgementItDrainsAtHalfItsPace) {
   channel.add(1000, 10);
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
   EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 500);
   EXPECT_DOUBLE_EQ(channel.queued_entries(110s), 0);
 }
 
-TEST(ControlChannelTest, AnAcknowledgementShowsThatAllBeforeItLeft) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, AnAcknowledgementShowsThatAllBeforeItLeft) {
   channel.add(1000, 1);
   channel.request_acknowledgement(100s, sink);
   ASSERT_EQ(sink.requests.size(), 1U);
@@ -39,20 +42,14 @@
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
 }
 
-TEST(ControlChannelTest, EachOfTheMessagesConfirmsItsPart) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, EachOfTheMessagesConfirmsItsPart) {
   channel.add(1000, 4);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 750);
 }
 
-TEST(ControlChannelTest, OnceAcknowledgementsComeWhatIsUnconfirmedLeavesSlowly) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, OnceAcknowledgementsComeWhatIsUnconfirmedLeavesSlowly) {
   channel.add(100, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
@@ -60,10 +57,7 @@
   EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 950);
 }
 
-TEST(ControlChannelTest, RequestsAcknowledgementsOnlyWhenEnoughMayWait) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, RequestsAcknowledgementsOnlyWhenEnoughMayWait) {
   channel.add(100, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
@@ -78,10 +72,7 @@
   EXPECT_EQ(sink.requests.size(), 2U) << "nothing was sent since";
 }
 
-TEST(ControlChannelTest, CallsOfOneMomentShareARequest) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, CallsOfOneMomentShareARequest) {
   channel.add(600, 1);
   channel.request_acknowledgement(100s, sink);
   channel.add(600, 1);
@@ -91,19 +82,14 @@
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 600) << "one answer of two";
 }
 
-TEST(ControlChannelTest, AnUnknownOrOlderRequestConfirmsNothing) {
-  ControlChannel channel(channel_settings());
-  RecordingSink sink;
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, AnUnknownOrOlderRequestConfirmsNothing) {
   channel.add(1000, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, AckRequestId{77});
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
 }
 
-TEST(ControlChannelTest, WithItsLastProxyAllThatWaitsIsLost) {
-  ControlChannel channel(channel_settings());
-  channel.queued_entries(100s);
+TEST_F(ControlChannelTest, WithItsLastProxyAllThatWaitsIsLost) {
   channel.add(1000, 1);
   channel.on_all_proxies_left();
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
--- a/tests/program/record_support.h
+++ b/tests/program/record_support.h
@@ -30,7 +30,7 @@
                                int reports = 8) {
   const auto config = config::parse_config(small_config_text(), "small");
   record::Writer writer({folder, 1U << 30, kSmallFileBytes});
-  IgnoringHandler actions;
+  ActionHandler actions;  // ignores them
   record::RecordingController controller(config::module_settings(config), config.seed, begin, actions,
                                          &writer, config.text);
   for (std::uint32_t n = 0; n < names.size(); ++n) controller.on_replica_named(begin, ReplicaId{n}, names[n]);
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kSeed = 5;
 
 // Remembers the timers that the controller started.
-class TimerCollector : public test::IgnoringHandler {
+class TimerCollector : public ActionHandler {
  public:
   using ActionHandler::handle;
   void handle(const StartTimer& action) override { timers.push_back(action.timer); }
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -58,7 +58,4 @@
   std::filesystem::path path;
 };
 
-// Drops every action.
-class IgnoringHandler : public ActionHandler {};
-
 }  // namespace ospreypost::test
