--- a/src/platform/endpoint_list_intake.cpp
+++ b/src/platform/endpoint_list_intake.cpp
@@ -55,7 +55,7 @@
     revision = list.revision;
     apply(list, Source::cached);
   } catch (const net::Error& error) {
-    targets_.errors.add(std::string("no list was known: ") + error.what());
+    targets_.errors.add(std::string("cannot read the cached endpoint list: ") + error.what());
   }
   return revision;
 }
@@ -79,11 +79,11 @@
     if (source == Source::cached) kind = EndpointListKind::cached;
     controller.on_endpoint_list(now, kind, changes.updates);
   });
-  if (rejected > 0) targets_.errors.add("entries of the list that cannot be read");
+  if (rejected > 0) targets_.errors.add("the endpoint list has entries that cannot be read");
   on_applied_();
 }
 
-// One line for a complete list, else one for each change.
+// Logs one line for a complete list, or one line for each entry of a list of changes.
 void EndpointListIntake::log_list(const discovery::EndpointListUpdate& list, Source source) {
   std::size_t ready = 0;
   std::size_t warming_up = 0;
--- a/src/platform/endpoint_list_intake.h
+++ b/src/platform/endpoint_list_intake.h
@@ -1,4 +1,4 @@
-/// The way of endpoint lists from discovery to the controller and to the streams.
+/// Passes endpoint lists from discovery to the controller and to the proxies' streams.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +18,26 @@
 
 namespace ospreypost::platform {
 
-/// Logs each list and applies it. Called by one thread at a time: the caller's at the start, then the
-/// watcher's.
+/// Logs each endpoint list and applies it. The methods must not be called concurrently: `PlatformServer`
+/// calls `apply_cached` before it starts the discovery watcher, whose thread makes the later calls.
 class EndpointListIntake : public discovery::EndpointListHandler {
  public:
-  /// What lists go to, which must outlive the intake.
+  /// The objects that receive the lists and the errors. They must outlive the intake.
   struct Targets {
     control_plane::ControllerDriver& driver;
     StreamDelivery& delivery;
     control_plane::RateLimitedLogger& errors;
   };
-  /// `warm_up_duration`: for so long after its start a replica is logged as warming up. `on_applied` is
-  /// called without a lock after each list: there may be something to write on streams.
+  /// `warm_up_duration`: time after a replica's start during which the replica is logged as warming up.
+  /// `on_applied` is called after each applied list, without a lock held, so that the streams can send the
+  /// resulting table updates.
   EndpointListIntake(const Targets& targets, std::shared_ptr<spdlog::logger> log, Nanos warm_up_duration,
                      std::function<void()> on_applied);
 
-  /// Applies the list that was known before the start, if it can be read. Returns its revision, or 0.
+  /// Applies the endpoint list that was cached before the start. Returns its revision, or 0 if `text` cannot
+  /// be parsed.
   std::uint64_t apply_cached(const std::string& text);
-  /// Applies a list of the watcher.
+  /// Applies a list that the discovery watcher received.
   void on_endpoint_list_update(const discovery::EndpointListUpdate& list) override;
   void on_discovery_error(const std::string& why) override;
 
--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -30,7 +30,7 @@
       ++changes.rejected;
       continue;
     }
-    // That a replica is gone which nobody knows concerns nobody.
+    // The registry and the controller have no state to remove for an unregistered replica that is gone.
     if (gone && !ids_.contains(entry.name)) continue;
     apply_entry(entry, changes);
   }
--- a/src/platform/endpoint_registry.h
+++ b/src/platform/endpoint_registry.h
@@ -1,5 +1,5 @@
-/// The replicas as discovery names them, and the ids that stand for them: given once, never again, and
-/// forgotten together with the name once nothing uses them. No I/O.
+/// Maps the replica names that discovery uses to replica ids. An id is never reused; the id and its name are
+/// removed once no routing table uses the replica. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -20,40 +20,42 @@
 /// A replica as discovery last listed it.
 struct RegisteredEndpoint {
   std::string name;
-  net::Address address;  ///< the last one that it had, where it is gone
+  net::Address address;  ///< last listed address; kept while the replica is gone
   EndpointPhase phase = EndpointPhase::gone;
 };
 
 /// Translates endpoint lists into updates for the controller. Not thread-safe.
 class EndpointRegistry {
  public:
-  /// `clock_offset`: from Unix time to the controller's clock. It stays the same for the life of the process,
-  /// so that a start which is reported twice stays one start.
+  /// `clock_offset`: the controller's clock minus Unix time. The offset is constant for the life of the
+  /// process, so that a replica start that is listed twice is converted to the same time.
   EndpointRegistry(std::vector<std::string> zones, std::vector<std::string> hardware_kinds,
                    Nanos clock_offset)
       : zones_(std::move(zones)), hardware_kinds_(std::move(hardware_kinds)), clock_offset_(clock_offset) {}
 
-  /// What a list changed.
+  /// The changes that a list made to the registry.
   struct Changes {
     std::vector<EndpointUpdate> updates;
-    std::vector<ReplicaId> no_longer_ready;  ///< that were ready before
-    std::size_t rejected = 0;                ///< entries whose zone or hardware kind the settings don't have
-    /// Whether a complete list must be passed on as the changes that it amounts to: an entry that cannot be
-    /// read doesn't mean that its replica is gone.
+    std::vector<ReplicaId> no_longer_ready;  ///< replicas that were ready before this list
+    /// Number of entries with a zone or hardware kind that the settings don't contain.
+    std::size_t rejected = 0;
+    /// True if the controller must receive a complete list as changes, because the list has entries that were
+    /// rejected. A complete list without these entries would mark their replicas as gone.
     bool must_apply_as_changes = false;
   };
-  /// Takes over a list, or changes of one.
+  /// Applies a complete endpoint list or an update with changed entries only.
   Changes apply(const discovery::EndpointListUpdate& list);
 
-  /// Empty if the name is not known.
+  /// Returns the id of a replica; empty if the registry has no replica of that name.
   std::optional<ReplicaId> find_id(std::string_view name) const;
-  /// Null if the id was released or never given; valid until the next call that isn't `const`.
+  /// Returns null if the id was released or never assigned. The pointer is valid until the next call of a
+  /// non-const method.
   const RegisteredEndpoint* find_endpoint(ReplicaId id) const;
-  /// The replicas that are gone and not yet released.
+  /// Returns the replicas that are gone and not yet released.
   std::vector<ReplicaId> gone_replicas() const;
-  /// Forgets an id and its name. A replica that comes back under the name gets another id.
+  /// Removes an id and its name. A replica that is listed again under the same name gets a new id.
   void release(ReplicaId id);
-  /// The number of replicas that are not released.
+  /// Returns the number of replicas that are not released, including those that are gone.
   std::size_t size() const { return endpoints_.size(); }
 
  private:
--- a/src/platform/gossip_channel.cpp
+++ b/src/platform/gossip_channel.cpp
@@ -17,7 +17,7 @@
 namespace ospreypost::platform {
 namespace {
 
-// The platform ends the run of whoever sends a longer one.
+// The platform terminates an instance that sends a longer gossip message.
 constexpr std::size_t kMaxMessageBytes = 256;
 constexpr std::size_t kReceiverStackBytes = std::size_t{64} * 1024;
 constexpr auto kStopCheckInterval = std::chrono::milliseconds(200);
@@ -47,7 +47,8 @@
 }
 
 void GossipChannel::receive_until_stopped() {
-  // One byte more than may come: a longer datagram is cut, and would pass for one of the permitted length.
+  // One byte larger than the longest permitted message. A datagram larger than the buffer is truncated, and
+  // could not be distinguished from one of the permitted length without the extra byte.
   std::array<std::uint8_t, kMaxMessageBytes + 1> buffer{};
   while (!stopping_) {
     const auto datagram = net::receive_from(socket_, buffer, net::Steady::now() + kStopCheckInterval);
--- a/src/platform/gossip_channel.h
+++ b/src/platform/gossip_channel.h
@@ -1,5 +1,5 @@
-/// Gossip between control plane instances: the controllers' own messages in datagrams, which may come late,
-/// out of order or not at all.
+/// Gossip between control plane instances: carries the controllers' messages in UDP datagrams, which may
+/// arrive late, out of order or not at all.
 #pragma once
 
 #include <atomic>
@@ -14,22 +14,22 @@
 
 namespace ospreypost::platform {
 
-/// Sends to the peers, and receives from them on a thread of its own.
+/// Sends gossip messages to peer instances, and receives gossip messages on a thread of its own.
 class GossipChannel {
  public:
-  /// Called from the channel's thread with each message of a peer.
+  /// Called from the receiving thread with each message from a known peer.
   using MessageCallback = std::function<void(PeerId, std::string_view)>;
-  /// `peers`: the address of each by its number; `all_peers` reaches every one. Throws `net::Error` if the
-  /// address cannot be had. Receives from then on.
+  /// `peers`: peer addresses, indexed by `PeerId`. `all_peers`: address that delivers to every peer. Starts
+  /// receiving on `listen`. Throws `net::Error` if the `listen` address cannot be bound.
   GossipChannel(const net::Address& listen, std::vector<net::Address> peers, net::Address all_peers,
                 MessageCallback on_message);
   ~GossipChannel() { stop(); }
-  /// Where peers send to, with the port that the system chose if none was given.
+  /// Returns the bound address, with the port that the system chose if the `listen` address had port 0.
   net::Address address() const { return net::local_address(socket_); }
-  /// Sends to one peer, or to every one where none is named. False, and nothing is sent, if the peer is
-  /// unknown or the message is longer than the platform permits. From any thread.
+  /// Sends a message to one peer, or to all peers if `peer` is empty. Returns false without sending if the
+  /// peer is unknown or the message is longer than 256 bytes, the platform's limit. Thread-safe.
   bool send_to_peer(std::optional<PeerId> peer, std::string_view message);
-  /// Joins the thread; nothing is received afterwards.
+  /// Joins the receiving thread; the callback is not called afterwards.
   void stop();
 
  private:
--- a/src/platform/health_checker.cpp
+++ b/src/platform/health_checker.cpp
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-// Each replica waits at most once, so it is the list that bounds the queue.
+// At most one check of each replica is queued, so the length of the endpoint list bounds the queue.
 constexpr std::size_t kMaxWaitingChecks = 65536;
 constexpr std::size_t kThreadStackBytes = std::size_t{64} * 1024;
 constexpr auto kCheckTimeout = 500ms;
@@ -32,7 +32,7 @@
     : load_columns_(std::move(load_columns)),
       on_result_(std::move(on_result)),
       on_error_(std::move(on_error)),
-      threads_("prober", kMaxConcurrentHealthChecks, kMaxWaitingChecks, kThreadStackBytes) {}
+      threads_("health-check", kMaxConcurrentHealthChecks, kMaxWaitingChecks, kThreadStackBytes) {}
 
 void HealthChecker::request(ReplicaId replica, const net::Address& address) {
   {
@@ -40,8 +40,8 @@
     const bool added = waiting_.insert(replica).second;
     if (!added) return;
   }
-  const bool taken = threads_.take([this, replica, address] { check(replica, address); });
-  if (taken) return;
+  const bool queued = threads_.take([this, replica, address] { check(replica, address); });
+  if (queued) return;
   const std::lock_guard lock(mutex_);
   waiting_.erase(replica);
 }
@@ -66,7 +66,7 @@
   try {
     return parse_load_report(body, load_columns_);
   } catch (const MessageError& error) {
-    on_error_("a load report was dropped: " + std::string(error.what()));
+    on_error_("dropped a malformed load report: " + std::string(error.what()));
     return std::nullopt;
   }
 }
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -1,4 +1,4 @@
-/// Health checks of replicas over HTTP, each from a thread of a small pool.
+/// Runs the HTTP health checks of replicas on a small thread pool.
 #pragma once
 
 #include <atomic>
@@ -18,27 +18,28 @@
 
 namespace ospreypost::platform {
 
-/// The number of replicas that are checked at once, which is that of the connections for it. One of eight
-/// replicas that hang holds a thread for the whole timeout; with so many, the others of hundreds are still
-/// checked within one iteration of the control loop.
+/// Maximum number of concurrent health checks; each uses one thread and one connection. A replica that hangs
+/// occupies its thread for the whole timeout. If one in eight of several hundred replicas hangs, 16 threads
+/// still check all the others within one iteration of the control loop.
 inline constexpr std::size_t kMaxConcurrentHealthChecks = 16;
 
-/// Runs the health checks that the controller requests. Thread-safe. Its lock is held for a few instructions,
-/// and never while it calls anything outside.
+/// Runs the health checks that the controller requests. Thread-safe. The checker's lock is held for a few
+/// instructions only, and never during a callback.
 class HealthChecker {
  public:
-  /// Called from a thread of the pool with each outcome.
+  /// Called from a thread of the pool with the result of each health check.
   using ResultCallback = std::function<void(const HealthCheckResult&)>;
-  /// Called from a thread of the pool with what is wrong with a load report, which is then not used.
+  /// Called from a thread of the pool with an error message for each load report that is dropped as
+  /// malformed.
   using ErrorCallback = std::function<void(const std::string&)>;
-  /// `load_columns`: of the load report in an answer, in the order of the settings. Throws `net::Error` if
-  /// the threads cannot be had.
+  /// `load_columns`: column names of the load report that a replica's answer may contain, in the order of the
+  /// settings. Throws `net::Error` if the threads cannot be created.
   HealthChecker(std::vector<std::string> load_columns, ResultCallback on_result, ErrorCallback on_error);
-  /// Checks the replica once a thread is free. Does nothing if a check of it waits for that already.
+  /// Queues a health check of the replica. Does nothing if a check of the same replica is already queued.
   void request(ReplicaId replica, const net::Address& address);
-  /// Ends the checks that run; no outcome is reported from then on.
+  /// Aborts the running checks. No results are reported afterwards.
   void cancel();
-  /// Joins the threads.
+  /// Joins the threads of the pool.
   void stop() { threads_.stop(); }
 
  private:
@@ -49,7 +50,7 @@
   const ResultCallback on_result_;
   const ErrorCallback on_error_;
   std::mutex mutex_;
-  // Guarded by `mutex_`: the replicas whose checks wait for a thread.
+  // Replicas whose checks are queued and not yet started. Guarded by `mutex_`.
   std::set<ReplicaId> waiting_;
   std::atomic<bool> cancelled_ = false;
   net::CancellationEvent cancellation_;
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -17,11 +17,12 @@
 namespace ospreypost::platform {
 namespace {
 
-// Bounds that no sound report passes.
+// Upper bounds of message fields, above the values in any valid message. A message with a higher value is
+// rejected.
 constexpr double kMaxMilliseconds = 600'000;
 constexpr std::uint64_t kMaxCount = 10'000'000;
 constexpr double kMaxLoad = 1e6;
-constexpr double kMaxUtilization = 2;  // of a replica's cores
+constexpr double kMaxUtilization = 2;  // as a multiple of the replica's cores
 constexpr double kMaxRequestsPerSecond = 1e6;
 constexpr std::uint64_t kMaxProxyId = 65534;
 
@@ -32,7 +33,7 @@
   throw MessageError(std::string(field) + " " + reason);
 }
 
-// Empty unless the whole text is one number.
+// Returns empty unless the whole text is one number.
 template <typename Number>
 std::optional<Number> to_number(std::string_view text) {
   Number value = 0;
@@ -45,7 +46,7 @@
 double parse_number(std::string_view field, std::string_view text, double max) {
   const auto value = to_number<double>(text);
   if (!value) reject(field, "is no number");
-  const bool in_range = *value >= 0 && *value <= max;  // which a NaN is not
+  const bool in_range = *value >= 0 && *value <= max;  // NaN is never in range
   if (!in_range) reject(field, "is out of range");
   return *value;
 }
@@ -63,7 +64,7 @@
   return static_cast<std::size_t>(found - names.begin());
 }
 
-// The fields after the message's kind, each of which may come once.
+// The name and value pairs that follow the message's kind. Each name may occur once.
 class MessageFields {
  public:
   explicit MessageFields(const std::vector<std::string_view>& words) : words_(words) {
@@ -95,10 +96,10 @@
   Nanos milliseconds(std::string_view name) const {
     return Nanos(std::llround(number(name, kMaxMilliseconds) * kNanosPerMillisecond));
   }
-  // A time that is above zero.
+  // Parses a duration that must be positive.
   Nanos span(std::string_view name) const {
     const auto span = milliseconds(name);
-    if (span <= Nanos{}) reject(name, "is no span");
+    if (span <= Nanos{}) reject(name, "is not a positive duration");
     return span;
   }
 
@@ -129,7 +130,7 @@
   report.attempts = fields.count("count");
   report.failed = fields.count("fail");
   if (report.failed > report.attempts) reject("fail", "is above count");
-  // Where no attempt succeeded there is no latency to report.
+  // The mean latency may be missing if every attempt failed, as no latency was measured.
   const bool has_latency = report.failed < report.attempts || fields.find("mean");
   if (has_latency) report.mean_latency = fields.milliseconds("mean");
   report.span = fields.span("over");
@@ -141,8 +142,8 @@
   DemandReport report;
   report.cls = parse_class(fields, names);
   report.operations = fields.count("count");
-  // Requests are counted as failed when they end, which may be after the span in which they arrived: there
-  // may be more of them than arrived.
+  // A request counts as failed in the report for the span in which it ends, which may be later than the span
+  // in which it arrived. `unanswered` may therefore be above the number of arrivals.
   report.unanswered = fields.count("fail");
   report.span = fields.span("over");
   return report;
@@ -150,9 +151,9 @@
 
 void handle_proxy_hello(const MessageFields& fields, const MessageNames& names, const MessageSender& sender,
                         MessageHandler& handler) {
-  if (sender.role == PeerRole::collector) throw MessageError("a collector that would be a proxy");
+  if (sender.role == PeerRole::collector) throw MessageError("hello from a collector");
   const auto proxy = parse_proxy(fields, names);
-  if (sender.proxy && *sender.proxy != proxy) throw MessageError("a stream that would be another proxy's");
+  if (sender.proxy && *sender.proxy != proxy) throw MessageError("hello with the id of another proxy");
   const auto zone = parse_zone(fields, names);
   const double requests_per_second = fields.number("rps", kMaxRequestsPerSecond);
   const bool newly_added = fields.integer("new", 1) == 1;
@@ -161,21 +162,21 @@
 
 void handle_collector_hello(const MessageFields& fields, const MessageNames& names,
                             const MessageSender& sender, MessageHandler& handler) {
-  if (sender.role == PeerRole::proxy) throw MessageError("a proxy that would be a collector");
+  if (sender.role == PeerRole::proxy) throw MessageError("agent from a proxy");
   handler.on_collector_hello(parse_zone(fields, names));
 }
 
 void handle_demand_report(const MessageFields& fields, const MessageNames& names, const MessageSender& sender,
                           MessageHandler& handler) {
   const auto proxy = parse_proxy(fields, names);
-  if (sender.proxy && *sender.proxy != proxy) throw MessageError("demand of another proxy");
+  if (sender.proxy && *sender.proxy != proxy) throw MessageError("demand with the id of another proxy");
   handler.on_demand_report(proxy, parse_demand_report(fields, names));
 }
 
 void handle_acknowledgement(const MessageFields& fields, const MessageNames& names,
                             const MessageSender& sender, MessageHandler& handler) {
   const auto proxy = parse_proxy(fields, names);
-  if (!sender.proxy || *sender.proxy != proxy) throw MessageError("an answer of another proxy");
+  if (!sender.proxy || *sender.proxy != proxy) throw MessageError("ack with the id of another proxy");
   const auto nonce = fields.integer("seq", std::numeric_limits<std::uint64_t>::max());
   handler.on_acknowledgement(proxy, nonce, fields.milliseconds("ms"));
 }
@@ -184,7 +185,7 @@
   return "'" + std::string(kind.substr(0, kMaxShownKindBytes)) + "'";
 }
 
-std::string_view without_blanks(std::string_view text) {
+std::string_view trimmed(std::string_view text) {
   text.remove_prefix(std::min(text.find_first_not_of(' '), text.size()));
   return text.substr(0, text.find_last_not_of(" \r\n") + 1);
 }
@@ -196,10 +197,10 @@
   std::vector<std::optional<float>> found(columns.size());
   while (!text.empty()) {
     const auto comma = text.find(',');
-    const auto item = without_blanks(text.substr(0, comma));
+    const auto item = trimmed(text.substr(0, comma));
     text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
     const auto name_end = item.find(separator);
-    if (name_end == std::string_view::npos) reject("the load", "is no list of pairs");
+    if (name_end == std::string_view::npos) reject("the load", "is not a list of name and value pairs");
     const auto name = item.substr(0, name_end);
     const auto column = index_of("a column of the load", name, columns);
     const double max = name == "util" ? kMaxUtilization : kMaxLoad;
@@ -230,7 +231,7 @@
   if (kind == "outcomes") return handler.on_replica_load_report(parse_replica_load_report(fields, names));
   if (kind == "demand") return handle_demand_report(fields, names, sender, handler);
   if (kind == "ack") return handle_acknowledgement(fields, names, sender, handler);
-  throw MessageError(quoted(kind) + " is no kind of message");
+  throw MessageError(quoted(kind) + " is not a known kind of message");
 }
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_config.cpp
+++ b/src/platform/platform_config.cpp
@@ -32,11 +32,11 @@
 constexpr double kNanosPerSecond = 1e9;
 constexpr int kMaxRetryMode = 3;
 
-// Reads the fields of an object, and names them in errors.
+// Reads the fields of a JSON object. Error messages contain the field's name.
 class ObjectReader {
  public:
   ObjectReader(const json& object, std::string where) : object_(object), where_(std::move(where)) {
-    if (!object.is_object()) fail("", "is no object");
+    if (!object.is_object()) fail("", "is not an object");
   }
   const json& at(const char* field) const {
     const auto found = object_.find(field);
@@ -45,7 +45,7 @@
   }
   bool has(const char* field) const { return object_.contains(field); }
   std::string text(const char* field) const {
-    if (!at(field).is_string()) fail(field, "is no text");
+    if (!at(field).is_string()) fail(field, "is not a string");
     return at(field).get<std::string>();
   }
   net::Address address(const char* field) const { return parse_address(field, text(field)); }
@@ -54,19 +54,20 @@
     for (const auto& text : names(field, at(field))) parsed.push_back(parse_address(field, text));
     return parsed;
   }
-  // The items of a list, which are names or objects that have one.
+  // Returns the names in a list whose items are strings or objects with a `name` field.
   std::vector<std::string> names(const char* field, const json& list) const {
     std::vector<std::string> found;
-    if (!list.is_array()) fail(field, "is no list");
+    if (!list.is_array()) fail(field, "is not a list");
     for (const auto& item : list) {
       const auto& name = item.is_object() && item.contains("name") ? item["name"] : item;
-      if (!name.is_string()) fail(field, "holds what is no name");
+      if (!name.is_string())
+        fail(field, "contains an item that is neither a string nor an object with a name");
       found.push_back(name.get<std::string>());
     }
     return found;
   }
   [[noreturn]] void fail(const std::string& field, const std::string& what) const {
-    throw config::ConfigError(where_ + ": " + (field.empty() ? "it" : field) + " " + what);
+    throw config::ConfigError(where_ + ": " + (field.empty() ? "the value" : field) + " " + what);
   }
 
  private:
@@ -108,8 +109,8 @@
   lines += path + "=" + items + "\n";
 }
 
-// Writes nested settings as the path=value lines that the simulator's first message has, so that both
-// programs derive them by the same code.
+// Writes nested settings as path=value lines, the format in the first message of the simulator's protocol, so
+// that `simulator::parse_settings` parses the settings of the platform and of the simulator.
 void flatten(const json& value, const std::string& path, std::string& lines) {
   if (value.is_object()) {
     for (const auto& [key, item] : value.items()) flatten(item, path_below(path, key), lines);
@@ -133,7 +134,7 @@
   std::uint64_t seed = 0;
   const auto parsed = std::from_chars(text.data(), end, seed, 16);
   if (parsed.ec != std::errc{} || parsed.ptr != end)
-    document.fail("seed", "is no hexadecimal number of 64 bits");
+    document.fail("seed", "is not a hexadecimal number of at most 64 bits");
   return seed;
 }
 
@@ -141,7 +142,7 @@
   const ObjectReader limits(document.at("limits"), where + ": limits");
   const auto& sockets = limits.at("sockets");
   if (!sockets.is_number_unsigned() || sockets.get<std::size_t>() < kMinDescriptors)
-    limits.fail("sockets", "is no number of at least 64");
+    limits.fail("sockets", "is not an integer of at least 64");
   return sockets.get<std::size_t>();
 }
 
@@ -155,14 +156,14 @@
 RetryMode parse_default_retry(const ObjectReader& settings, const json& nested) {
   const int number = nested.at("family-info").at("default-retry").get<int>();
   if (number < 0 || number > kMaxRetryMode)
-    settings.fail("settings.family-info.default-retry", "is none of 0 to 3");
+    settings.fail("settings.family-info.default-retry", "is not a retry mode from 0 to 3");
   return static_cast<RetryMode>(number);
 }
 
 Nanos parse_min_batch_interval(const ObjectReader& settings, const json& nested) {
   const double seconds = nested.at("quantum-s").get<double>();
-  const bool in_range = seconds >= 0 && seconds < kMaxBatchIntervalSeconds;  // which a NaN is not
-  if (!in_range) settings.fail("quantum-s", "is out of range");
+  const bool in_range = seconds >= 0 && seconds < kMaxBatchIntervalSeconds;  // NaN is never in range
+  if (!in_range) settings.fail("quantum-s", "is not from 0 to below 60");
   return Nanos(std::llround(seconds * kNanosPerSecond));
 }
 
@@ -211,7 +212,7 @@
   std::array<char, kReadBufferBytes> buffer{};
   while (file.read(buffer.data(), buffer.size()) || file.gcount() > 0) {
     text.append(buffer.data(), static_cast<std::size_t>(file.gcount()));
-    if (text.size() > kMaxConfigBytes) throw config::ConfigError(path + ": is larger than any configuration");
+    if (text.size() > kMaxConfigBytes) throw config::ConfigError(path + ": is larger than 8 MiB");
   }
   return parse_platform_config(text, path);
 }
--- a/src/platform/platform_config.h
+++ b/src/platform/platform_config.h
@@ -1,5 +1,5 @@
-/// What the platform passes to a control plane instance at its start: the JSON configuration that the
-/// environment variable ROUTER_CONFIG names.
+/// The JSON configuration that the platform passes to a control plane instance at its start, in the file that
+/// the environment variable ROUTER_CONFIG names.
 #pragma once
 
 #include <cstddef>
@@ -13,39 +13,40 @@
 
 namespace ospreypost::platform {
 
-/// The configuration, checked.
+/// The validated configuration.
 struct PlatformConfig {
-  std::string name;
-  net::Address listen;       ///< for proxies and collectors
-  net::Address discovery;    ///< the server of the endpoint list
-  net::Address peer_listen;  ///< for gossip
-  net::Address all_peers;    ///< reaches every peer
-  /// By number, its own included; empty: there are none.
+  std::string name;          ///< name of this control plane instance
+  net::Address listen;       ///< address where proxies and collectors connect
+  net::Address discovery;    ///< address of the server of the endpoint list
+  net::Address peer_listen;  ///< address where gossip messages are received
+  net::Address all_peers;    ///< address that delivers to every peer
+  /// Addresses of all instances, indexed by `PeerId`, including this instance; empty if there are no peers.
   std::vector<net::Address> peers;
   bool gossip_enabled = false;
   std::uint64_t seed = 0;
-  std::size_t max_descriptors = 0;  ///< file descriptors of the process
+  std::size_t max_descriptors = 0;  ///< limit of the process's file descriptors
   Settings settings;
 
-  // The names that the numbers in the settings stand for, in their order.
+  // Names of the request classes, zones, hardware kinds and load report columns. The settings refer to each
+  // name by its position in the list.
   std::vector<std::string> classes;
   std::vector<std::string> zones;
   std::vector<std::string> hardware_kinds;
   std::vector<std::string> load_columns;
 
-  /// The mode of a proxy that received none for a class.
+  /// Retry mode that a proxy applies to a request class until it receives a traffic policy for the class.
   RetryMode default_retry = RetryMode::after_rejection_proof;
-  /// The shortest time between two batches of calls on the controller.
+  /// Minimum time between two batches of calls on the controller.
   Nanos min_batch_interval{};
-  /// The last endpoint list that was known before the start, in discovery's form.
+  /// Last endpoint list that was received before the start, in discovery's JSON format.
   std::string cached_endpoint_list;
 };
 
-/// `where` names the text in errors. Throws `config::ConfigError`, whose message is one line that names
-/// `where` and the field.
+/// Parses the configuration. `where`: name of the text, for error messages. Throws `config::ConfigError` with
+/// a one-line message that contains `where` and, for a missing or wrong field, the field's name.
 PlatformConfig parse_platform_config(std::string_view text, const std::string& where);
-/// Throws `config::ConfigError` like `parse_platform_config`, and where the file cannot be read or is too
-/// large.
+/// Reads and parses the configuration file. Throws `config::ConfigError` like `parse_platform_config`, and
+/// also if the file cannot be read or is larger than 8 MiB.
 PlatformConfig read_platform_config(const std::string& path);
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -33,9 +33,10 @@
 using namespace std::chrono_literals;
 using control_plane::ControllerDriver;
 
-// Descriptors for all that is no stream: health checks; discovery and its cancellation, at one address and
-// four that are being left; polling, the listener, a connection just accepted, gossip, cancellation, standard
-// streams.
+// File descriptors reserved for everything except streams: one for each concurrent health check, and 24
+// others. The 24 others cover the watches of discovery with their cancellation, at the current address and at
+// up to four previous addresses that are still being closed; the poller; the listener; a connection that was
+// just accepted; gossip; the cancellation of health checks; and the standard streams.
 constexpr std::size_t kOtherDescriptors = kMaxConcurrentHealthChecks + 24;
 constexpr std::size_t kMaxWaitingGossipMessages = 64;
 constexpr std::size_t kGossipSenderStackBytes = std::size_t{64} * 1024;
@@ -53,14 +54,14 @@
       log_(std::move(log)),
       peer_errors_(log_, kPeerErrorLogInterval),
       delivery_(config_, steady_now() - unix_now()) {
-  // Before the driver: the controller may act from its first moment.
+  // Created before the driver, as the controller may request a health check as soon as the driver exists.
   health_checker_ = make_health_checker();
   driver_ = make_driver();
   endpoint_list_intake_ = make_endpoint_list_intake();
   const auto known_revision = endpoint_list_intake_->apply_cached(config_.cached_endpoint_list);
   if (config_.gossip_enabled) {
-    gossip_sender_ =
-        std::make_unique<net::ThreadPool>("teller", 1, kMaxWaitingGossipMessages, kGossipSenderStackBytes);
+    gossip_sender_ = std::make_unique<net::ThreadPool>("gossip-send", 1, kMaxWaitingGossipMessages,
+                                                       kGossipSenderStackBytes);
     gossip_ = make_gossip();
   }
   stream_events_ = std::make_unique<StreamEventRouter>(*driver_, delivery_, peer_errors_);
@@ -86,7 +87,7 @@
   discovery_watcher_->move_to(config.discovery);
 }
 
-// --- Parts
+// --- Creation of the components
 
 std::unique_ptr<HealthChecker> PlatformServer::make_health_checker() {
   const auto on_result = [this](const HealthCheckResult& result) {
@@ -99,8 +100,9 @@
 }
 
 std::unique_ptr<ControllerDriver> PlatformServer::make_driver() {
-  // All calls of a short while leave as one message for each proxy, as the calls of one batch do in the
-  // simulator: each message has its overhead, and only so many may go to a proxy.
+  // The changes of all controller calls within the gather time are sent to each proxy as one message, like
+  // the changes of one batch of calls in the simulator. Each message has an overhead, and the number of
+  // messages to a proxy is limited.
   const auto gather_time = std::max(config_.min_batch_interval, kMinGatherTime);
   const ControllerDriver::Options options{config_.settings, config_.seed, gather_time, nullptr, ""};
   return std::make_unique<ControllerDriver>(options, steady_now,
@@ -139,7 +141,7 @@
   return names;
 }
 
-// --- The controller's actions, under its lock
+// --- Execution of the controller's actions, with the driver's lock held
 
 void PlatformServer::on_published(Nanos,
                                   const std::optional<routing_state::RoutingState::Publication>& published,
@@ -159,7 +161,8 @@
 
 void PlatformServer::log(std::string_view line) { log_->info("{}", delivery_.with_replica_name(line)); }
 
-// From time to time, without a lock: what no call may do, as it would wait or take long.
+// Runs every `kMaintenanceInterval` without a lock held. Does the work that must not be done during a call on
+// the controller, because the work may block or take long.
 void PlatformServer::run_maintenance() {
   if (list_refresh_requested_.exchange(false)) discovery_watcher_->refresh();
   delivery_.release_unused_replicas();
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -1,5 +1,5 @@
-/// A control plane instance in service on the platform: the streams, discovery, health checks and gossip
-/// around the controller.
+/// A control plane instance on the platform: connects the controller with the proxies' streams, discovery,
+/// health checks and gossip.
 #pragma once
 
 #include <atomic>
@@ -31,22 +31,25 @@
 
 namespace ospreypost::platform {
 
-/// Assembles the parts, and carries out the controller's actions.
+/// Creates the components and executes the controller's actions.
 ///
-/// Lock order: the watcher's lock that keeps lists in their order; then the lock of `ControllerDriver`, which
-/// is held during each call on the controller and so during the actions below; then one of the locks of
-/// `StreamDelivery`, `HealthChecker`, `RateLimitedLogger` or a thread pool, none of which is held while
-/// another one of these is taken. The streams' thread holds no lock when it calls its handler.
+/// Lock order:
+/// 1. the lock of `DiscoveryWatcher` that keeps endpoint lists in order;
+/// 2. the lock of `ControllerDriver`, which is held during each call on the controller, and so also while the
+///    private overrides below execute the controller's actions;
+/// 3. the lock of `StreamDelivery`, `HealthChecker`, `RateLimitedLogger` or a thread pool. A thread with one
+///    of these locks takes no other lock.
+/// The thread of `StreamServer` holds no lock when it calls its `StreamEventHandler`.
 class PlatformServer : private control_plane::ControllerFrontend {
  public:
-  /// Throws `net::Error` if an address cannot be had. Serves from then on.
+  /// Starts serving. Throws `net::Error` if a listening address cannot be bound.
   PlatformServer(PlatformConfig config, std::shared_ptr<spdlog::logger> log);
   ~PlatformServer() override { stop(); }
-  /// Where proxies and collectors connect.
+  /// Returns the address where proxies and collectors connect.
   net::Address address() const { return streams_->address(); }
-  /// Applies what may change while it serves: the address of discovery.
+  /// Applies the part of the configuration that may change at run time: the address of discovery.
   void reload(const PlatformConfig& config);
-  /// Ends all connections and joins all threads.
+  /// Closes all connections and joins all threads.
   void stop();
 
  private:
@@ -73,13 +76,13 @@
   StreamDelivery delivery_;
   std::atomic<bool> list_refresh_requested_ = false;
 
-  // In the order of what they use: each is destroyed before that.
+  // Each member is declared after the members that it uses, so that it is destroyed before them.
   std::unique_ptr<control_plane::ControllerDriver> driver_;
   std::unique_ptr<HealthChecker> health_checker_;
   std::unique_ptr<EndpointListIntake> endpoint_list_intake_;
   std::unique_ptr<StreamEventRouter> stream_events_;
-  std::unique_ptr<net::ThreadPool> gossip_sender_;  // null where instances may not gossip
-  std::unique_ptr<GossipChannel> gossip_;           // null where instances may not gossip
+  std::unique_ptr<net::ThreadPool> gossip_sender_;  // null if gossip is disabled
+  std::unique_ptr<GossipChannel> gossip_;           // null if gossip is disabled
   std::unique_ptr<StreamServer> streams_;
   std::unique_ptr<discovery::DiscoveryWatcher> discovery_watcher_;
   std::atomic<bool> stopped_ = false;
--- a/src/platform/stream_delivery.cpp
+++ b/src/platform/stream_delivery.cpp
@@ -90,7 +90,7 @@
   for (const auto replica : encoder_.unused_replicas(registry_.gone_replicas())) registry_.release(replica);
 }
 
-// Empty if it was released or never given. With the lock held.
+// Returns an empty name if the id was released or never assigned. `mutex_` must be held.
 std::string_view StreamDelivery::name_of(ReplicaId replica) const {
   const auto* endpoint = registry_.find_endpoint(replica);
   return endpoint ? std::string_view(endpoint->name) : std::string_view{};
--- a/src/platform/stream_delivery.h
+++ b/src/platform/stream_delivery.h
@@ -1,5 +1,5 @@
-/// What is delivered on the streams of proxies: the endpoints by name and the updates of tables, behind one
-/// lock.
+/// Thread-safe access to the state behind the proxies' streams: the endpoint registry and the encoder of
+/// table updates, guarded by one lock.
 #pragma once
 
 #include <cstdint>
@@ -22,39 +22,41 @@
 
 namespace ospreypost::platform {
 
-/// Thread-safe: each call takes the lock for a short time, and calls nothing outside while it holds it.
-/// `PlatformServer` states the order of locks.
+/// Thread-safe. Each method holds the lock for a short time, and calls only the registry and the encoder
+/// while the lock is held. The lock order is documented at `PlatformServer`.
 class StreamDelivery {
  public:
-  /// `clock_offset`: from Unix time to the controller's clock.
+  /// `clock_offset`: the controller's clock minus Unix time.
   StreamDelivery(const PlatformConfig& config, Nanos clock_offset);
 
-  /// Takes over a list; proxies that have no tables from here drop the replicas that are no longer ready.
+  /// Applies an endpoint list. Replicas that are no longer ready are also removed from the routing tables of
+  /// proxies that have not received a snapshot on their stream.
   EndpointRegistry::Changes apply(const discovery::EndpointListUpdate& list);
-  /// Takes over a new snapshot, if there is one, and then the acknowledgement requests made with it; each
-  /// says whether all proxies are to answer it.
+  /// Stores the new snapshot, if there is one, and schedules updates for the changed proxies. Then schedules
+  /// the acknowledgement requests, each for all proxies or for the proxies that the current snapshot changed.
   void on_published(const std::optional<routing_state::RoutingState::Publication>& published,
                     const std::vector<RequestAcknowledgement>& requests);
 
-  /// A new stream, and the end of one, as `TableUpdateEncoder` takes them.
+  /// A proxy has a new stream, or its stream has ended; see `TableUpdateEncoder`.
   void on_proxy_joined(ProxyId proxy);
   void on_proxy_left(ProxyId proxy);
-  /// The requests that the answer settles.
+  /// Returns the acknowledgement requests that the answer with this nonce completes.
   std::vector<AckRequestId> on_acknowledgement(ProxyId proxy, std::uint64_t nonce);
 
-  /// The proxies that there may be something to write to.
+  /// Returns the proxies that may have a pending message.
   std::vector<ProxyId> due_proxies() const;
-  /// The bytes for a proxy, which count as written from then on; empty if there is nothing to write.
+  /// Returns the encoded messages for a proxy, which count as sent from then on; empty if no message is
+  /// pending.
   std::string next_message(ProxyId proxy);
 
-  /// Empty if the name is not known.
+  /// Returns the id of a replica; empty if no replica of that name is registered.
   std::optional<ReplicaId> find_replica(std::string_view name) const;
-  /// Empty if the replica is gone.
+  /// Returns the address of a replica; empty if the replica is gone or not registered.
   std::optional<net::Address> address_of(ReplicaId replica) const;
-  /// The controller's line, with the replica's name in place of its number.
+  /// Returns a log line of the controller with the replica's number replaced by its name.
   std::string with_replica_name(std::string_view line) const;
 
-  /// Forgets the replicas that are gone and in no proxy's table.
+  /// Releases the ids of replicas that are gone and in no proxy's routing table.
   void release_unused_replicas();
 
  private:
--- a/src/platform/stream_event_router.cpp
+++ b/src/platform/stream_event_router.cpp
@@ -15,7 +15,8 @@
                                         bool newly_added) {
   driver_.call([&](RecordingController& controller, RoutingState& state, Nanos now) {
     delivery_.on_proxy_joined(proxy);
-    // It may have joined on another stream, whose end counts for nothing.
+    // The proxy may have joined earlier on a stream that this one replaces. `on_proxy_left` is not called for
+    // a replaced stream.
     state.remove_proxy(proxy);
     state.add_proxy(proxy);
     controller.on_proxy_joined(now, proxy, zone, requests_per_second, newly_added);
--- a/src/platform/stream_event_router.h
+++ b/src/platform/stream_event_router.h
@@ -1,4 +1,4 @@
-/// The way of what proxies and collectors say on their streams to the controller.
+/// Passes the messages that proxies and collectors send on their streams to the controller.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,11 @@
 
 namespace ospreypost::platform {
 
-/// Makes one call on the controller for each event. Called from the thread of the streams.
+/// Makes one call on the controller for each stream event, and one for each acknowledgement request that an
+/// acknowledgement completes. Called from the thread of `StreamServer`.
 class StreamEventRouter : public StreamEventHandler {
  public:
-  /// All must outlive the router.
+  /// The arguments must outlive the router.
   StreamEventRouter(control_plane::ControllerDriver& driver, StreamDelivery& delivery,
                     control_plane::RateLimitedLogger& errors)
       : driver_(driver), delivery_(delivery), errors_(errors) {}
--- a/src/platform/stream_server.cpp
+++ b/src/platform/stream_server.cpp
@@ -26,20 +26,22 @@
 constexpr int kListenBacklog = 1024;
 constexpr std::size_t kMaxAcceptsPerWakeup = 64;
 constexpr std::size_t kReadBufferBytes = 16384;
-// A connection that has not identified itself by then is closed.
+// Maximum time from the acceptance of a connection until its peer has identified itself; the server closes
+// the connection afterwards.
 constexpr auto kIdentificationTimeout = 1500ms;
 constexpr auto kTimeoutCheckInterval = 100ms;
-// How long nothing is accepted once there was no descriptor for a connection.
+// Time for which no connections are accepted after file descriptors were exhausted.
 constexpr auto kAcceptPause = kTimeoutCheckInterval;
-// Of answers to a peer that doesn't read them.
+// Maximum size of unsent data at which a liveness request is still answered; a peer that doesn't read its
+// answers is disconnected.
 constexpr std::size_t kMaxUnsentBytes = std::size_t{256} << 10;
 constexpr resp::MessageLimits kUnidentifiedLimits{std::size_t{4} << 10, 32};
 constexpr resp::MessageLimits kIdentifiedLimits{std::size_t{64} << 10, 64};
 
 bool is_printable(char character) { return character > ' ' && character < 127; }
 
-// The message as far as a log line has space for it, without anything that could break the line.
-std::string printable(const std::vector<std::string_view>& words) {
+// Returns the start of the message for a log line, with each unprintable character replaced by '?'.
+std::string printable_excerpt(const std::vector<std::string_view>& words) {
   constexpr std::size_t kMaxShownBytes = 200;
   std::string text = " in '";
   for (const auto word : words) {
@@ -54,7 +56,7 @@
 
 }  // namespace
 
-// Passes on what one message says, together with the connection that it came on.
+// Handles the content of one message with access to the connection on which the message arrived.
 class StreamServer::ConnectionMessageHandler : public MessageHandler {
  public:
   ConnectionMessageHandler(StreamServer& server, Connection& connection)
@@ -64,10 +66,10 @@
     std::string answer;
     resp::write_message(answer, {"alive"});
     const bool written = connection_.unsent.size() <= kMaxUnsentBytes && server_.write(connection_, answer);
-    if (!written) throw net::Error("it takes no answer");
+    if (!written) throw net::Error("the peer does not read its answers");
   }
   void on_proxy_hello(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) override {
-    take_over_stream(proxy);
+    replace_older_stream(proxy);
     identify({PeerRole::proxy, proxy});
     server_.proxy_streams_[proxy] = connection_.key;
     server_.handler_.on_proxy_joined(proxy, zone, requests_per_second, newly_added);
@@ -84,14 +86,15 @@
   }
 
  private:
-  // Closes the older stream of the proxy, if there is one.
-  void take_over_stream(ProxyId proxy) {
+  // Closes the proxy's older stream, if there is one. Throws `net::Error` if the proxy has a newer stream.
+  void replace_older_stream(ProxyId proxy) {
     const auto known = server_.proxy_streams_.find(proxy);
     if (known == server_.proxy_streams_.end()) return;
     const auto other = known->second;
-    // The proxy has left this one for the other, though its hello is read only now.
+    // The proxy has replaced this connection by a newer stream, although the hello of this connection is read
+    // after the hello of the newer stream.
     if (other > connection_.key) throw net::Error("the proxy has a newer stream");
-    // Before the older stream is closed: its end must not count as the proxy's leaving.
+    // The older stream is unregistered first, so that `close_connection` doesn't report that the proxy left.
     server_.proxy_streams_.erase(known);
     if (other != connection_.key) server_.close_connection(other);
   }
@@ -148,7 +151,7 @@
 void StreamServer::on_ready(const net::Poller::Ready& event) {
   if (event.key == kListenerKey) return accept_connections();
   const auto known = connections_.find(event.key);
-  if (known == connections_.end()) return;  // closed by an event before this one
+  if (known == connections_.end()) return;  // closed while an earlier event was handled
   auto& connection = known->second;
   if (event.writable && !write(connection, {})) return close_connection(event.key);
   if (event.readable) on_readable(connection);
@@ -160,7 +163,7 @@
   for (std::size_t n = 0; n < kMaxAcceptsPerWakeup; ++n) {
     auto accepted = net::accept(listener_, net::Steady::now());
     if (!accepted) {
-      // The listener was ready, but not even its first connection could be had: descriptors are exhausted.
+      // The listener was ready, but its first connection could not be accepted: descriptors are exhausted.
       if (n == 0) pause_accepting();
       return;
     }
@@ -169,7 +172,8 @@
   }
 }
 
-// Without the pause the listener would be ready again at once, and for as long as descriptors lack.
+// Without the pause, the poller would report the listener as ready again at once, and the thread would loop
+// without waiting for as long as descriptors are exhausted.
 void StreamServer::pause_accepting() {
   close_oldest_unidentified();
   resume_accepting_at_ = net::Steady::now() + kAcceptPause;
@@ -187,8 +191,9 @@
   poller_.add(connection.socket.get(), key);
 }
 
-// A flood of connections must neither keep proxies out, nor end a connection that has identified itself, nor
-// one that is about to: its hello may wait to be read.
+// Closes the oldest connection that has not identified itself, so that a flood of connections cannot prevent
+// proxies from connecting. Connections that have identified themselves are not closed, nor are those whose
+// hello has arrived but has not been read.
 void StreamServer::close_oldest_unidentified() {
   const auto connections_before = connections_.size();
   while (!unidentified_.empty() && connections_.size() == connections_before) {
@@ -206,7 +211,8 @@
   }
 }
 
-// Reads what waits on the connection first, which may also end it.
+// Reads the received bytes of the connection first, as they may contain its hello. This may close the
+// connection.
 bool StreamServer::is_still_unidentified(std::uint64_t key) {
   on_readable(connections_.at(key));
   return unidentified_.contains(key);
@@ -244,7 +250,7 @@
   }
 }
 
-// One message; false if none is complete, or it was the connection's last: the connection is gone then.
+// Handles one message. Returns false if no complete message is buffered, or if the connection was closed.
 bool StreamServer::dispatch_message(Connection& connection) {
   const auto words = connection.reader.next();
   if (!words) return false;
@@ -256,7 +262,7 @@
       reject(connection, error.what());
       return false;
     }
-    handler_.log_peer_error("a message was dropped: " + std::string(error.what()) + printable(*words));
+    handler_.log_peer_error("dropped a message: " + std::string(error.what()) + printable_excerpt(*words));
   }
   return true;
 }
@@ -267,7 +273,7 @@
     resp::write_message(error, {"error", "why", reason});
     write(connection, error);
   }
-  handler_.log_peer_error("a connection was ended: " + reason);
+  handler_.log_peer_error("closed a connection: " + reason);
   close_connection(connection.key);
 }
 
@@ -278,21 +284,23 @@
     const auto stream = proxy_streams_.find(proxy);
     if (stream == proxy_streams_.end()) continue;
     auto& connection = connections_.at(stream->second);
-    // A proxy that has not taken the last message gets one later, with all that is published by then.
+    // While a proxy has not received its last message completely, no further message is encoded for it. Its
+    // next message covers everything published until then.
     if (!connection.unsent.empty()) continue;
     if (!write(connection, handler_.next_message(proxy))) close_connection(connection.key);
   }
 }
 
-// Writes as much as the system takes now; the rest waits. False if the stream broke.
+// Appends the bytes to the unsent data and writes as much as the socket accepts now; the rest is written when
+// the socket becomes writable. Returns false if the connection is broken.
 bool StreamServer::write(Connection& connection, std::string_view bytes) {
   connection.unsent += bytes;
   try {
     connection.unsent.erase(0, net::write_now(connection.socket, connection.unsent));
-    const bool has_rest = !connection.unsent.empty();
-    if (has_rest != connection.has_write_interest)
-      poller_.set_write_interest(connection.socket.get(), connection.key, has_rest);
-    connection.has_write_interest = has_rest;
+    const bool has_unsent = !connection.unsent.empty();
+    if (has_unsent != connection.has_write_interest)
+      poller_.set_write_interest(connection.socket.get(), connection.key, has_unsent);
+    connection.has_write_interest = has_unsent;
     return true;
   } catch (const net::Error&) {
     return false;
--- a/src/platform/stream_server.h
+++ b/src/platform/stream_server.h
@@ -1,5 +1,5 @@
-/// The address that peers of a control plane instance connect to: proxies' streams, collectors and
-/// unidentified connections, all served by one thread that never waits for any of them.
+/// Server for the connections of proxies, collectors and peers that have not yet identified themselves. One
+/// thread serves all connections with non-blocking I/O.
 #pragma once
 
 #include <atomic>
@@ -21,51 +21,52 @@
 
 namespace ospreypost::platform {
 
-/// Receives what streams say, and gives what is to be written on them. Called from the server's thread, which
-/// holds no lock then.
+/// Receives the events of the streams, and supplies the messages to be written on them. Called from the
+/// server's thread without a lock held.
 class StreamEventHandler {
  public:
   virtual ~StreamEventHandler() = default;
-  /// `newly_added`: the proxy holds no tables yet.
+  /// A proxy has identified itself on a stream. `newly_added`: the proxy has no routing tables yet.
   virtual void on_proxy_joined(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) = 0;
-  /// The proxy's stream ended, and the proxy has no newer one.
+  /// The proxy's stream ended, and the proxy has no newer stream.
   virtual void on_proxy_left(ProxyId proxy) = 0;
-  /// The reports and acknowledgements of one message each, as `MessageHandler` receives them.
+  /// A report or an acknowledgement arrived; the arguments are those of `MessageHandler`.
   virtual void on_replica_load_report(const ReplicaLoadReport& report) = 0;
   virtual void on_demand_report(ProxyId proxy, const DemandReport& report) = 0;
   virtual void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos elapsed) = 0;
-  /// The proxies that there is something to write to.
+  /// Returns the proxies that may have a pending message.
   virtual std::vector<ProxyId> due_proxies() = 0;
-  /// What there is to write to a proxy; it counts as written from then on.
+  /// Returns the bytes to write to a proxy, which count as sent from then on; empty if no message is pending.
   virtual std::string next_message(ProxyId proxy) = 0;
-  /// Logs what a peer did wrong.
+  /// Logs an error that a peer caused.
   virtual void log_peer_error(const std::string& what) = 0;
 };
 
-/// Accepts connections, dispatches their messages, and writes what is due.
+/// Accepts connections, dispatches the received messages, and writes the pending messages.
 class StreamServer {
  public:
-  /// `max_connections`: at once; beyond, the oldest that has not identified itself is closed for a new one.
-  /// Throws `net::Error` if the address cannot be had. Serves from then on.
+  /// Starts serving on `listen`. `max_connections`: maximum number of open connections; at the maximum, the
+  /// oldest connection that has not identified itself is closed in favour of a new one. Throws `net::Error`
+  /// if the address cannot be bound.
   StreamServer(const net::Address& listen, std::size_t max_connections, MessageNames names,
                StreamEventHandler& handler);
   ~StreamServer() { stop(); }
-  /// Where peers connect, with the port that the system chose if none was given.
+  /// Returns the address where peers connect, with the port that the system chose if `listen` had port 0.
   net::Address address() const { return net::local_address(listener_); }
-  /// There may be something to write. From any thread.
+  /// Makes the server's thread ask the handler for pending messages. Thread-safe.
   void wake() { poller_.wake(); }
-  /// Joins the thread; the handler is not called afterwards.
+  /// Joins the server's thread; the handler is not called afterwards.
   void stop();
 
  private:
   struct Connection {
-    std::uint64_t key = 0;  // connections are numbered in the order in which they were accepted
+    std::uint64_t key = 0;  // sequence number in the order of acceptance, from 1
     net::Socket socket;
     resp::MessageReader reader;
     MessageSender peer;
     net::Deadline accepted_at;
-    // What the system has not taken yet; for a proxy at most one message and the answers to its liveness
-    // requests.
+    // Bytes that the socket has not accepted yet. For a proxy, they contain at most the result of one
+    // `next_message` call and the answers to liveness requests.
     std::string unsent;
     bool has_write_interest = false;
   };
@@ -97,10 +98,10 @@
   net::Socket listener_;
   net::Poller poller_;
   std::map<std::uint64_t, Connection> connections_;
-  std::set<std::uint64_t> unidentified_;            // keys, by age
-  std::map<ProxyId, std::uint64_t> proxy_streams_;  // the key of each proxy's connection
+  std::set<std::uint64_t> unidentified_;            // connection keys, oldest first
+  std::map<ProxyId, std::uint64_t> proxy_streams_;  // connection key of each proxy's stream
   std::uint64_t last_key_ = 0;
-  std::optional<net::Deadline> resume_accepting_at_;  // present while there is no descriptor for a connection
+  std::optional<net::Deadline> resume_accepting_at_;  // set while accepting is paused
   std::atomic<bool> stopping_ = false;
   net::Thread thread_;
 };
--- a/src/platform/table_push.cpp
+++ b/src/platform/table_push.cpp
@@ -14,12 +14,14 @@
 namespace ospreypost::platform {
 namespace {
 
-// Far below the 1 MiB that a message may have, whatever the names.
+// Maximum number of weight changes in one message. The maximum keeps each message far below the platform's
+// limit of 1 MiB, even with long replica names.
 constexpr std::size_t kMaxChangesPerMessage = 4000;
-// The smallest number with the decimals that are written.
+// Smallest positive number that can be written with five decimals.
 constexpr double kMinWrittenNumber = 1e-5;
 
-// Short, and never in a form with an exponent, which not every reader takes.
+// Formats a positive number with at most five decimals. Never writes an exponent, which some readers don't
+// accept.
 std::string format_positive(double value) {
   std::array<char, 32> buffer{};
   std::snprintf(buffer.data(), buffer.size(), "%.5f", std::max(value, kMinWrittenNumber));
@@ -45,7 +47,8 @@
   } while (next_change < push.changes.size());
 }
 
-// Adds one message with the changes from that one on; returns the first that it has no space for.
+// Adds one message with the changes from index `first_change` on. Returns the index of the first change that
+// did not fit.
 std::size_t TablePushEncoder::add_part(const TablePush& push, std::size_t first_change) {
   const bool first = first_change == 0;
   const auto end = std::min(push.changes.size(), first_change + kMaxChangesPerMessage);
@@ -74,7 +77,7 @@
   for (std::size_t n = first_change; n < end; ++n) {
     const auto& change = push.changes[n];
     const auto name = name_of_(change.replica);
-    // A proxy ends the stream of whoever names what discovery never listed.
+    // A proxy closes a stream on which it receives the name of a replica that discovery never listed.
     if (name.empty()) continue;
     ++entries_;
     if (!endpoints.empty()) endpoints += ',';
--- a/src/platform/table_push.h
+++ b/src/platform/table_push.h
@@ -1,4 +1,4 @@
-/// The form of table updates on a proxy's stream: `push` messages. No I/O.
+/// Encodes table updates as the `push` messages of a proxy's stream. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,41 +14,44 @@
 
 namespace ospreypost::platform {
 
-/// The name that discovery knows a replica by; empty if it is not known any more.
+/// Returns the name of a replica in discovery; empty if the replica's id was released.
 using EndpointNames = std::function<std::string_view(ReplicaId)>;
 
-/// The weight that a replica gets in a table; 0 removes its entry.
+/// New weight of a replica in a routing table; 0 removes the replica's entry.
 struct WeightChange {
   ReplicaId replica{};
   double weight = 0;
 };
 
-/// One update that is the same for some classes. Whatever is absent or empty stays as it is.
+/// One update of the routing tables of several request classes. Absent or empty parts leave the tables
+/// unchanged.
 struct TablePush {
-  std::vector<std::size_t> classes;  ///< positions in the settings; none: all
-  bool complete = false;             ///< the changes are made to empty tables with the default policy
+  std::vector<std::size_t> classes;  ///< indices in the settings; empty: all classes
+  bool complete = false;             ///< the tables are cleared and their policy reset before `changes` apply
   std::vector<WeightChange> changes;
   std::optional<routing_state::TrafficPolicy> policy;
 };
 
-/// The bytes of some messages, and their cost.
+/// Encoded messages and their cost.
 struct TableUpdateMessage {
-  std::string bytes;        ///< empty: there is nothing to write
-  std::size_t entries = 0;  ///< as the platform counts them, without the overhead of the message
+  std::string bytes;  ///< empty if no message is pending
+  /// Cost in entries, as the platform counts them, without the overhead per message.
+  std::size_t entries = 0;
 };
 
-/// Encodes updates as messages that a proxy applies together: each but the last says that another one
-/// follows.
+/// Encodes updates as a sequence of messages that a proxy applies together: each message except the last has
+/// the field `continued`.
 class TablePushEncoder {
  public:
-  /// Both must outlive the encoder.
+  /// The arguments must outlive the encoder.
   TablePushEncoder(const std::vector<std::string>& class_names, const EndpointNames& name_of)
       : class_names_(class_names), name_of_(name_of) {}
-  /// Adds an update, as several messages if it is long.
+  /// Adds an update, split into several messages if it has many changes.
   void add(const TablePush& push);
-  /// The proxy is to answer with the nonce once it has applied all that was added; something must have been.
+  /// Adds an acknowledgement request: the proxy answers with `nonce` once it has applied all added updates.
+  /// At least one update must have been added.
   void request_acknowledgement(std::uint64_t nonce);
-  /// All of it; the last call.
+  /// Returns all encoded messages. No other method may be called afterwards.
   TableUpdateMessage finish();
 
  private:
--- a/src/platform/table_update_encoder.cpp
+++ b/src/platform/table_update_encoder.cpp
@@ -19,19 +19,20 @@
 
 using routing_state::RoutingTable;
 using routing_state::TableEntry;
-using Entries = std::vector<TableEntry>;  // by ascending replica
+using Entries = std::vector<TableEntry>;  // in ascending order of replica ids
 
-// The changes that turn the one into the other.
+// Returns the changes that turn the entries `written` into the entries `published`.
 std::vector<WeightChange> differences(const Entries& written, const Entries& published) {
   std::vector<WeightChange> changes;
-  auto old = written.begin();
+  auto old_entry = written.begin();
   for (const auto& entry : published) {
-    for (; old != written.end() && old->replica < entry.replica; ++old) changes.push_back({old->replica, 0});
-    const bool was_written = old != written.end() && old->replica == entry.replica;
-    if (!was_written || old->weight != entry.weight) changes.push_back({entry.replica, entry.weight});
-    if (was_written) ++old;
+    for (; old_entry != written.end() && old_entry->replica < entry.replica; ++old_entry)
+      changes.push_back({old_entry->replica, 0});
+    const bool was_written = old_entry != written.end() && old_entry->replica == entry.replica;
+    if (!was_written || old_entry->weight != entry.weight) changes.push_back({entry.replica, entry.weight});
+    if (was_written) ++old_entry;
   }
-  for (; old != written.end(); ++old) changes.push_back({old->replica, 0});
+  for (; old_entry != written.end(); ++old_entry) changes.push_back({old_entry->replica, 0});
   return changes;
 }
 
@@ -40,27 +41,28 @@
   return table ? table->entries : no_entries;
 }
 
-bool have_same_entries(const std::shared_ptr<const RoutingTable>& one,
-                       const std::shared_ptr<const RoutingTable>& other) {
-  return one == other || entries_of(one) == entries_of(other);
+bool have_same_entries(const std::shared_ptr<const RoutingTable>& left,
+                       const std::shared_ptr<const RoutingTable>& right) {
+  return left == right || entries_of(left) == entries_of(right);
 }
 
 bool has_entry(const RoutingTable& table, ReplicaId replica) {
-  const auto entry =
-      std::lower_bound(table.entries.begin(), table.entries.end(), replica,
-                       [](const TableEntry& one, ReplicaId wanted) { return one.replica < wanted; });
+  const auto entry = std::lower_bound(
+      table.entries.begin(), table.entries.end(), replica,
+      [](const TableEntry& candidate, ReplicaId wanted) { return candidate.replica < wanted; });
   return entry != table.entries.end() && entry->replica == replica;
 }
 
-// Where the entries of just these classes go, their policy goes along.
+// Adds `policy_push` to `pushes`. If `pushes` has a push with the same classes and without a policy, that
+// push receives the policy instead.
 void add_policy(TablePush policy_push, std::vector<TablePush>& pushes) {
-  const auto companion = std::find_if(pushes.begin(), pushes.end(), [&](const TablePush& push) {
+  const auto matching_push = std::find_if(pushes.begin(), pushes.end(), [&](const TablePush& push) {
     return !push.policy && push.classes == policy_push.classes;
   });
-  if (companion == pushes.end()) {
+  if (matching_push == pushes.end()) {
     pushes.push_back(std::move(policy_push));
   } else {
-    companion->policy = policy_push.policy;
+    matching_push->policy = policy_push.policy;
   }
 }
 
@@ -102,11 +104,11 @@
   }
 }
 
-void TableUpdateEncoder::request_acknowledgement(ProxyId proxy, AckRequestId request, bool even_alone) {
+void TableUpdateEncoder::request_acknowledgement(ProxyId proxy, AckRequestId request, bool without_update) {
   const auto known = streams_.find(proxy);
   if (known == streams_.end()) return;
   known->second.new_requests.push_back(request);
-  known->second.must_request = known->second.must_request || even_alone;
+  known->second.must_send_requests = known->second.must_send_requests || without_update;
   due_.insert(proxy);
 }
 
@@ -117,10 +119,10 @@
   auto& stream = known->second;
   auto pushes = take_pushes(stream);
   const bool nothing_to_push = pushes.empty();
-  if (nothing_to_push && !stream.must_request) stream.new_requests.clear();
-  stream.must_request = false;
+  if (nothing_to_push && !stream.must_send_requests) stream.new_requests.clear();
+  stream.must_send_requests = false;
   if (nothing_to_push && stream.new_requests.empty()) return {};
-  if (nothing_to_push) pushes.emplace_back();  // carries the request
+  if (nothing_to_push) pushes.emplace_back();  // an empty push carries the acknowledgement request
 
   TablePushEncoder encoder(class_names_, name_of);
   for (const auto& push : pushes) encoder.add(push);
@@ -132,7 +134,7 @@
   return encoder.finish();
 }
 
-// What is to be written; it counts as written from then on.
+// Returns the pending updates of the stream, which count as sent from then on.
 std::vector<TablePush> TableUpdateEncoder::take_pushes(ProxyStream& stream) const {
   std::vector<TablePush> pushes;
   if (stream.published) {
@@ -144,22 +146,23 @@
   return pushes;
 }
 
-// Classes that have the same entries and are to have the same ones share a push.
+// Adds the pending changes of table entries. Classes share one push if their sent entries are the same and
+// their published entries are the same.
 void TableUpdateEncoder::push_entries(ProxyStream& stream, std::vector<TablePush>& pushes) const {
   std::vector<bool> done(class_names_.size());
   for (std::size_t cls = 0; cls < class_names_.size(); ++cls) {
     const auto& table = stream.published->routing_tables[cls];
     if (done[cls] || !table) continue;
     TablePush push;
-    push.classes = classes_alike(stream, cls);
-    push.complete = !stream.written[cls].is_from_here;
+    push.classes = classes_with_same_tables(stream, cls);
+    push.complete = !stream.written[cls].was_sent;
     push.changes =
         differences(push.complete ? Entries{} : entries_of(stream.written[cls].table), table->entries);
     for (const auto member : push.classes) {
       auto& written = stream.written[member];
-      // A complete table brings its classes back to the default policy.
+      // A complete table resets the traffic policy of its classes to the default.
       if (push.complete) written.policy = default_policy_;
-      written.is_from_here = true;
+      written.was_sent = true;
       written.table = table;
       done[member] = true;
     }
@@ -167,20 +170,20 @@
   }
 }
 
-// The class, and those after it with the same entries as written and as published.
-std::vector<std::size_t> TableUpdateEncoder::classes_alike(const ProxyStream& stream,
-                                                           std::size_t first) const {
+// Returns class `first` and the later classes with the same sent and the same published entries.
+std::vector<std::size_t> TableUpdateEncoder::classes_with_same_tables(const ProxyStream& stream,
+                                                                      std::size_t first) const {
   const auto& published = stream.published->routing_tables;
   const auto& first_written = stream.written[first];
-  std::vector<std::size_t> alike;
+  std::vector<std::size_t> matching;
   for (std::size_t cls = first; cls < class_names_.size(); ++cls) {
     const auto& written = stream.written[cls];
     const bool same_published = published[cls] && have_same_entries(published[cls], published[first]);
-    const bool same_written = written.is_from_here == first_written.is_from_here &&
-                              have_same_entries(written.table, first_written.table);
-    if (same_published && same_written) alike.push_back(cls);
+    const bool same_written =
+        written.was_sent == first_written.was_sent && have_same_entries(written.table, first_written.table);
+    if (same_published && same_written) matching.push_back(cls);
   }
-  return alike;
+  return matching;
 }
 
 void TableUpdateEncoder::push_policies(ProxyStream& stream, std::vector<TablePush>& pushes) const {
@@ -211,18 +214,19 @@
 }
 
 std::vector<AckRequestId> TableUpdateEncoder::on_acknowledgement(ProxyId proxy, std::uint64_t nonce) {
-  std::vector<AckRequestId> settled;
+  std::vector<AckRequestId> completed;
   const auto known = streams_.find(proxy);
-  if (known == streams_.end()) return settled;
+  if (known == streams_.end()) return completed;
   auto& pending = known->second.pending;
-  const auto answered = std::find_if(pending.begin(), pending.end(),
-                                     [&](const PendingAcknowledgement& one) { return one.nonce == nonce; });
-  if (answered == pending.end()) return settled;
-  const auto settled_end = std::next(answered);  // nonces ascend
-  for (auto one = pending.begin(); one != settled_end; ++one)
-    settled.insert(settled.end(), one->requests.begin(), one->requests.end());
-  pending.erase(pending.begin(), settled_end);
-  return settled;
+  const auto answered =
+      std::find_if(pending.begin(), pending.end(),
+                   [&](const PendingAcknowledgement& candidate) { return candidate.nonce == nonce; });
+  if (answered == pending.end()) return completed;
+  const auto completed_end = std::next(answered);  // `pending` is in ascending order of nonces
+  for (auto message = pending.begin(); message != completed_end; ++message)
+    completed.insert(completed.end(), message->requests.begin(), message->requests.end());
+  pending.erase(pending.begin(), completed_end);
+  return completed;
 }
 
 std::vector<ReplicaId> TableUpdateEncoder::unused_replicas(const std::vector<ReplicaId>& replicas) const {
--- a/src/platform/table_update_encoder.h
+++ b/src/platform/table_update_encoder.h
@@ -1,8 +1,8 @@
-/// What was last written to each proxy on its stream, and the one message that brings the proxy to what is
-/// published now. No I/O.
+/// Tracks the routing tables last sent to each proxy, and encodes the difference to the proxy's published
+/// snapshot. No I/O.
 ///
-/// A replica that is ejected is taken out of the tables that are written. A proxy is never instructed to
-/// eject one by itself, as that would outlive its stream and bind it under other control plane instances.
+/// An ejected replica is left out of the tables that are sent. A proxy is never instructed to eject a replica
+/// itself: such an ejection would outlast the stream and stay in force under other control plane instances.
 #pragma once
 
 #include <cstddef>
@@ -19,62 +19,67 @@
 
 namespace ospreypost::platform {
 
-/// Decides what a stream has to carry next. Not thread-safe.
+/// Encodes the next table update of each proxy's stream. Not thread-safe.
 class TableUpdateEncoder {
  public:
-  /// `class_names`: in the order of the settings; `default_retry`: the mode of a proxy that received none.
+  /// `class_names`: request class names, in the order of the settings. `default_retry`: retry mode that a
+  /// proxy applies before it receives a traffic policy.
   TableUpdateEncoder(std::vector<std::string> class_names, RetryMode default_retry);
 
-  /// A new stream: whatever was written on another one counts for nothing.
+  /// The proxy has a new stream: updates that were sent on an earlier stream are disregarded.
   void on_proxy_joined(ProxyId proxy);
-  /// The end of its stream: nothing is due to the proxy any more.
+  /// The proxy's stream ended: no message is pending for the proxy any more.
   void on_proxy_left(ProxyId proxy);
-  /// What the proxy is to have from now on. Does nothing for a proxy without a stream, or without a snapshot.
+  /// Sets the snapshot that the proxy must receive. Does nothing if the proxy has no stream or `snapshot` is
+  /// null.
   void on_published(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> snapshot);
-  /// Proxies on a stream that have no tables from here are to drop these replicas from the tables they
-  /// brought along.
+  /// Schedules the removal of these replicas from the routing tables of proxies for which no snapshot has
+  /// been published on their stream. Such a proxy may still use tables from before the stream.
   void drop_replicas(const std::vector<ReplicaId>& replicas);
-  /// The proxy is to answer once it has applied all that is published now. `even_alone`: also if there is
-  /// nothing else to write to it.
-  void request_acknowledgement(ProxyId proxy, AckRequestId request, bool even_alone);
+  /// Schedules an acknowledgement request: the proxy answers once it has applied the current snapshot.
+  /// `without_update`: the request is sent even if no table update is pending; otherwise it is dropped in
+  /// that case.
+  void request_acknowledgement(ProxyId proxy, AckRequestId request, bool without_update);
 
-  /// The proxies that there may be something to write to.
+  /// Returns the proxies that may have a pending message.
   const std::set<ProxyId>& due_proxies() const { return due_; }
-  /// What there is to write to a proxy, which counts as written from then on.
+  /// Returns the pending message for a proxy, which counts as sent from then on.
   TableUpdateMessage next_message(ProxyId proxy, const EndpointNames& name_of);
 
-  /// The requests that the answer to `nonce` settles, those of earlier messages included; none if the nonce
-  /// is not one that waits for its answer.
+  /// Returns the acknowledgement requests that an answer with `nonce` completes, including those of earlier
+  /// messages; empty if no request with this nonce is pending.
   std::vector<AckRequestId> on_acknowledgement(ProxyId proxy, std::uint64_t nonce);
-  /// Those of the replicas that are in no proxy's table, neither as written nor as published.
+  /// Returns those of `replicas` that are in no proxy's routing table, neither in a sent nor in a published
+  /// one.
   std::vector<ReplicaId> unused_replicas(const std::vector<ReplicaId>& replicas) const;
 
  private:
   using SharedTable = std::shared_ptr<const routing_state::RoutingTable>;
 
-  // One class's table as written. Tables are shared by all proxies that have the same, so that one more costs
-  // no copy of its entries.
+  // The routing table of one request class, as last sent on the stream. The table is shared with the
+  // snapshots of all proxies that have the same table, so that its entries are not copied.
   struct WrittenTable {
-    bool is_from_here = false;  // else it is what the proxy brought along
+    bool was_sent = false;  // false: no table was sent; the proxy may have one from before the stream
     SharedTable table;
     routing_state::TrafficPolicy policy;
   };
+  // Acknowledgement requests that were sent in one message and are not answered yet.
   struct PendingAcknowledgement {
     std::uint64_t nonce = 0;
     std::vector<AckRequestId> requests;
   };
   struct ProxyStream {
-    std::vector<WrittenTable> written;  // by class
+    std::vector<WrittenTable> written;  // indexed by request class
     std::shared_ptr<const routing_state::ProxySnapshot> published;
-    std::vector<ReplicaId> replicas_to_drop;  // from the tables that it brought along
-    std::vector<AckRequestId> new_requests;   // for the next message
-    bool must_request = false;                // a message is written for them alone if need be
+    std::vector<ReplicaId> replicas_to_drop;  // to be removed from tables from before the stream
+    std::vector<AckRequestId> new_requests;   // to be sent with the next message
+    bool must_send_requests = false;          // `new_requests` are sent even if no table update is pending
     std::vector<PendingAcknowledgement> pending;
   };
 
   std::vector<TablePush> take_pushes(ProxyStream& stream) const;
   void push_entries(ProxyStream& stream, std::vector<TablePush>& pushes) const;
-  std::vector<std::size_t> classes_alike(const ProxyStream& stream, std::size_t first) const;
+  std::vector<std::size_t> classes_with_same_tables(const ProxyStream& stream, std::size_t first) const;
   void push_policies(ProxyStream& stream, std::vector<TablePush>& pushes) const;
   TablePush take_dropped_replicas(ProxyStream& stream) const;
   std::set<const routing_state::RoutingTable*> tables_in_use() const;
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -15,10 +15,10 @@
 constexpr std::size_t kMaxLengthDigits = 8;
 constexpr std::string_view kLineEnd = "\r\n";
 
-// A line such as "*3" or "$12".
+// A line with a length, such as "*3" (number of words) or "$12" (bytes of one word).
 struct LengthLine {
   std::size_t length = 0;
-  std::size_t line_bytes = 0;  // its sign and its end included
+  std::size_t line_bytes = 0;  // including the type byte and the line end
 };
 
 std::size_t parse_digits(std::string_view digits) {
@@ -29,15 +29,16 @@
   return number;
 }
 
-// The line that `bytes` begins with; empty if it is not complete.
-std::optional<LengthLine> parse_length_line(std::string_view bytes, char sign) {
+// Parses the line at the start of `bytes`. Returns empty if the line is incomplete. Throws `ProtocolError` if
+// the line doesn't start with `type_byte` or contains no valid length.
+std::optional<LengthLine> parse_length_line(std::string_view bytes, char type_byte) {
   if (bytes.empty()) return std::nullopt;
-  if (bytes.front() != sign) throw ProtocolError("no array of bulk strings");
+  if (bytes.front() != type_byte) throw ProtocolError("no array of bulk strings");
   const auto line = bytes.substr(1, kMaxLengthDigits + kLineEnd.size());
   const auto digits_end = line.find('\r');
   const auto digits = line.substr(0, digits_end);
-  // Checked also while the line is incomplete, so that a peer which speaks another protocol is found out
-  // early.
+  // The digits are also checked while the line is incomplete, so that a peer that uses another protocol is
+  // rejected early.
   const std::size_t length = digits.empty() ? 0 : parse_digits(digits);
   if (digits_end == std::string_view::npos) {
     if (line.size() > kMaxLengthDigits) throw ProtocolError("a length without an end");
@@ -74,7 +75,7 @@
   return words;
 }
 
-// The word that begins at `position`, which moves past it; empty if it is not complete.
+// Reads the word at `position` and moves `position` past it. Returns empty if the word is incomplete.
 std::optional<std::string_view> MessageReader::read_word(std::string_view unread,
                                                          std::size_t& position) const {
   const auto size = parse_length_line(unread.substr(position), '$');
@@ -83,9 +84,9 @@
     throw ProtocolError("a message of so many bytes");
   if (!size) return std::nullopt;
   const auto rest = unread.substr(position);
-  const auto came_of_end = rest.substr(std::min(size->length, rest.size()), kLineEnd.size());
-  if (!kLineEnd.starts_with(came_of_end)) throw ProtocolError("a word without its end");
-  if (came_of_end.size() < kLineEnd.size()) return std::nullopt;
+  const auto received_line_end = rest.substr(std::min(size->length, rest.size()), kLineEnd.size());
+  if (!kLineEnd.starts_with(received_line_end)) throw ProtocolError("a word without its end");
+  if (received_line_end.size() < kLineEnd.size()) return std::nullopt;
   position += size->length + kLineEnd.size();
   return rest.substr(0, size->length);
 }
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -1,6 +1,6 @@
-/// RESP2 arrays of bulk strings, the framing of the platform's messages: bytes in, words out. No I/O.
-/// What a peer declares is never allocated ahead: every limit is checked on the declaration, before its bytes
-/// come.
+/// Reads and writes RESP2 arrays of bulk strings, the framing of the platform's messages. A message is an
+/// array, and each of its bulk strings is a word. No I/O. Memory is never allocated in advance for a declared
+/// length: each limit is checked against the declared length, before the declared bytes are received.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,31 @@
 
 namespace ospreypost::resp {
 
-/// Bytes that can become no message, or a message past the limits. Nothing after them can be read.
+/// Thrown for bytes that are not a valid message, or for a message above the limits. No further messages can
+/// be read from the stream.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// The limits of one message.
+/// Limits for the size of one message.
 struct MessageLimits {
-  std::size_t max_bytes = std::size_t{64} << 10;  ///< framing included
+  std::size_t max_bytes = std::size_t{64} << 10;  ///< including the framing
   std::size_t max_words = 64;
 };
 
-/// Splits a stream of bytes, which come in pieces of any size, into messages. Not thread-safe.
+/// Splits a byte stream, which may arrive in chunks of any size, into messages. Not thread-safe.
 class MessageReader {
  public:
   explicit MessageReader(MessageLimits limits = {}) : limits_(limits) {}
-  /// The limits of the messages that are read from now on.
+  /// Sets the limits for messages that are read from now on.
   void set_limits(MessageLimits limits) { limits_ = limits; }
-  /// Adds bytes as they came. Words that `next` returned are invalid from then on.
+  /// Appends received bytes. Invalidates the words that `next` returned.
   void append(std::string_view bytes);
-  /// The words of the next complete message, valid until the next call of `append`; empty if none is complete
-  /// yet. Throws `ProtocolError` as soon as the bytes can become no message.
+  /// Returns the words of the next message, valid until the next call of `append`; empty if the next message
+  /// is still incomplete. Throws `ProtocolError` as soon as the bytes cannot be the start of a valid message.
   std::optional<std::vector<std::string_view>> next();
-  /// Bytes that were added and are not part of a message that was read.
+  /// Returns the number of appended bytes that do not belong to a message returned by `next`.
   std::size_t buffered_bytes() const { return bytes_.size() - read_bytes_; }
 
  private:
@@ -43,10 +44,10 @@
 
   MessageLimits limits_;
   std::string bytes_;
-  std::size_t read_bytes_ = 0;  // of `bytes_`, from its start
+  std::size_t read_bytes_ = 0;  // length of the prefix of `bytes_` that `next` has returned
 };
 
-/// Appends one message of these words to `output`.
+/// Appends the encoding of one message to `output`.
 void write_message(std::string& output, const std::vector<std::string_view>& words);
 
 }  // namespace ospreypost::resp
--- a/tests/program/endpoint_registry_test.cpp
+++ b/tests/program/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-/// How endpoint lists become updates, and names become ids.
+/// Tests of the conversion of endpoint lists into updates, and of replica names into ids.
 #include "platform/endpoint_registry.h"
 
 #include <gtest/gtest.h>
@@ -36,12 +36,13 @@
   EXPECT_EQ(changes.updates[1].started, 50s);
 }
 
-TEST_F(EndpointRegistryTest, NeverGivesAnIdTwice) {
+TEST_F(EndpointRegistryTest, NeverReusesAnId) {
   registry.apply(complete_list(endpoint_entry("a") + "," + endpoint_entry("b")));
   const auto first_id = *registry.find_id("a");
   const auto other_id = *registry.find_id("b");
   const auto changes = registry.apply(complete_list(endpoint_entry("b", "DRAINING")));
-  EXPECT_EQ(changes.no_longer_ready.size(), 2U) << "one drains, one is left out of a complete list";
+  EXPECT_EQ(changes.no_longer_ready.size(), 2U)
+      << "one replica is draining, the other is not in the complete list";
   EXPECT_EQ(registry.gone_replicas(), std::vector<ReplicaId>{first_id});
   registry.release(first_id);
   EXPECT_EQ(registry.size(), 1U);
--- a/tests/program/gossip_channel_test.cpp
+++ b/tests/program/gossip_channel_test.cpp
@@ -1,4 +1,4 @@
-/// Gossip on loopback: whose messages are received, and how long one may be.
+/// Tests of gossip on loopback: which senders are accepted, and the maximum message length.
 #include "platform/gossip_channel.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 
 void ignore_message(PeerId, std::string_view) {}
 
-TEST(GossipChannelTest, ReceivesFromPeersOnlyAndSendsNoMoreThanADatagramMayHold) {
+TEST(GossipChannelTest, AcceptsMessagesOnlyFromPeersAndLimitsTheLength) {
   const net::Address any{"127.0.0.1", 0};
   const auto first_peer = net::bind_udp(any);
   std::mutex mutex;
--- a/tests/program/messages_test.cpp
+++ b/tests/program/messages_test.cpp
@@ -1,4 +1,4 @@
-/// What peers may send, and what is rejected.
+/// Tests of the message parser: which messages it accepts from each kind of peer, and which it rejects.
 #include "platform/messages.h"
 
 #include <gtest/gtest.h>
@@ -34,9 +34,9 @@
     calls += "demand ";
     demand_report = report;
   }
-  void on_acknowledgement(ProxyId, std::uint64_t, Nanos took) override {
+  void on_acknowledgement(ProxyId, std::uint64_t, Nanos time) override {
     calls += "acknowledgement ";
-    elapsed = took;
+    elapsed = time;
   }
 
   std::string calls;
@@ -64,7 +64,8 @@
   return words;
 }
 
-// The calls that the message made, or `kRejected`. The sender is proxy 3 if it is a proxy.
+// Parses a message and returns the names of the handler's methods that were called, or `kRejected`. For the
+// role `proxy`, the sender is proxy 3.
 std::string parse(const std::string& line, PeerRole role, RecordingHandler& handler) {
   const auto words = split(line);
   const auto proxy = role == PeerRole::proxy ? std::optional(ProxyId{3}) : std::nullopt;
@@ -81,7 +82,7 @@
   return parse(line, role, handler);
 }
 
-const std::string kSoundLoadReport = "outcomes site east target s-1 count 9 fail 2 mean 41 over 1000";
+const std::string kValidLoadReport = "outcomes site east target s-1 count 9 fail 2 mean 41 over 1000";
 
 TEST(MessagesTest, ParsesLoadReports) {
   RecordingHandler handler;
@@ -112,31 +113,31 @@
   EXPECT_EQ(handler.elapsed, 310400us);
 }
 
-TEST(MessagesTest, ParsesWhatUnidentifiedConnectionsMaySend) {
+TEST(MessagesTest, ParsesMessagesAllowedOnUnidentifiedConnections) {
   EXPECT_EQ(parse("hello id 9 site east rps 0 new 0", PeerRole::unidentified), "proxy ");
   EXPECT_EQ(parse("agent site east", PeerRole::unidentified), "collector ");
   EXPECT_EQ(parse("probe", PeerRole::unidentified), "liveness ");
 }
 
-TEST(MessagesTest, RejectsLoadReportsWithAMissingOrWrongField) {
-  const auto& sound = kSoundLoadReport;
+TEST(MessagesTest, RejectsLoadReportsWithAMissingOrInvalidField) {
+  const auto& valid = kValidLoadReport;
   for (const std::string field : {"site", "target", "count", "fail", "mean", "over"}) {
-    const auto field_begin = sound.find(" " + field + " ");
+    const auto field_begin = valid.find(" " + field + " ");
     const auto value_begin = field_begin + field.size() + 2;
-    const auto value_end = std::min(sound.find(' ', value_begin), sound.size());
-    const auto rest = sound.substr(value_end);
-    EXPECT_EQ(parse(sound.substr(0, field_begin) + rest, PeerRole::proxy), kRejected) << "without " << field;
-    for (const char* wrong : {"", "nan", "inf", "-1", "1e99", "x", "99999999999999999999", "7seven"}) {
-      EXPECT_EQ(parse(sound.substr(0, value_begin) + wrong + rest, PeerRole::proxy), kRejected)
-          << field << " is '" << wrong << "'";
+    const auto value_end = std::min(valid.find(' ', value_begin), valid.size());
+    const auto rest = valid.substr(value_end);
+    EXPECT_EQ(parse(valid.substr(0, field_begin) + rest, PeerRole::proxy), kRejected) << "without " << field;
+    for (const char* invalid : {"", "nan", "inf", "-1", "1e99", "x", "99999999999999999999", "7seven"}) {
+      EXPECT_EQ(parse(valid.substr(0, value_begin) + invalid + rest, PeerRole::proxy), kRejected)
+          << field << " is '" << invalid << "'";
     }
   }
 }
 
-TEST(MessagesTest, RejectsLoadReportsWithWrongColumns) {
-  for (const char* wrong : {"util:", "util:nan", "util:-1", "util:99,inflight:1", "util:0.5", "speed:1", "7",
-                            "inflight:1,util:x", "inflight:-1,util:0.5"}) {
-    EXPECT_EQ(parse(kSoundLoadReport + " util " + wrong, PeerRole::proxy), kRejected) << wrong;
+TEST(MessagesTest, RejectsLoadReportsWithInvalidColumns) {
+  for (const char* invalid : {"util:", "util:nan", "util:-1", "util:99,inflight:1", "util:0.5", "speed:1",
+                              "7", "inflight:1,util:x", "inflight:-1,util:0.5"}) {
+    EXPECT_EQ(parse(kValidLoadReport + " util " + invalid, PeerRole::proxy), kRejected) << invalid;
   }
 }
 
@@ -144,11 +145,11 @@
   EXPECT_EQ(parse("outcomes site east target s-1 count 9 fail 10 mean 41 over 1000", PeerRole::proxy),
             kRejected);
   EXPECT_EQ(parse("outcomes site east target s-1 count 9 fail 2 mean 41 over 0", PeerRole::proxy), kRejected);
-  EXPECT_EQ(parse(kSoundLoadReport + " over 1000", PeerRole::proxy), kRejected) << "a field twice";
-  EXPECT_EQ(parse(kSoundLoadReport + " over", PeerRole::proxy), kRejected) << "a field without a value";
+  EXPECT_EQ(parse(kValidLoadReport + " over 1000", PeerRole::proxy), kRejected) << "a repeated field";
+  EXPECT_EQ(parse(kValidLoadReport + " over", PeerRole::proxy), kRejected) << "a field without a value";
 }
 
-TEST(MessagesTest, RejectsWrongMessagesOfAProxy) {
+TEST(MessagesTest, RejectsInvalidMessagesFromAProxy) {
   for (const char* line :
        {"demand id 3 lane dance count 1 fail 0 over 900", "demand id 4 lane sign count 1 fail 0 over 9",
         "demand id 3 lane sign count 1.5 fail 0 over 900", "ack id 3 seq x ms 1", "ack id 3 seq 1",
@@ -158,7 +159,7 @@
   }
 }
 
-TEST(MessagesTest, RejectsWhatUnidentifiedConnectionsAndCollectorsMayNotSend) {
+TEST(MessagesTest, RejectsMessagesNotAllowedFromUnidentifiedConnectionsAndCollectors) {
   for (const char* line : {"hello id 10 site east rps 1 new 1", "hello id 3 site north rps 1 new 1",
                            "hello id 3 site east rps 1 new 2", "agent site north", "ack id 3 seq 1 ms 1",
                            "demand id 3 lane sign count 1 fail 0 over 900", "push full 1"}) {
--- a/tests/program/platform_config_test.cpp
+++ b/tests/program/platform_config_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's configuration: what is read of it, and how faults are named.
+/// Tests of parsing the platform's configuration and of the error messages.
 #include "platform/platform_config.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 using test::Words;
 
-// The message of the error that the text leads to; empty if it is read.
+// Parses the configuration and returns the error message; empty if the configuration is valid.
 std::string parse_error(const std::string& text) {
   try {
     parse_platform_config(text, "c.json");
@@ -27,7 +27,7 @@
   return {};
 }
 
-TEST(PlatformConfigTest, ReadsTheSettingsLikeTheSimulatorsProtocol) {
+TEST(PlatformConfigTest, ParsesTheSettingsLikeTheSimulatorsProtocol) {
   const auto config = parse_platform_config(test::platform_config(), "c.json");
   EXPECT_EQ(config.name, "n0");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
@@ -40,22 +40,22 @@
   EXPECT_EQ(config.settings.load_columns, std::vector<LoadMetric>{LoadMetric::util});
 }
 
-TEST(PlatformConfigTest, NamesTheFileAndTheFieldOfAFault) {
-  const auto sound = test::platform_config();
+TEST(PlatformConfigTest, NamesTheFileAndTheInvalidFieldInErrors) {
+  const auto valid = test::platform_config();
   for (const std::string field : {"listen", "discovery", "seed", "limits", "sockets", "known", "settings",
                                   "classes", "bare-s", "default-retry", "quantum-s"}) {
-    auto text = sound;
+    auto text = valid;
     const auto key = '"' + field + '"';
     text.replace(text.find(key), key.size(), "\"x\"");
     const auto error = parse_error(text);
-    EXPECT_FALSE(error.empty()) << "without " << field;
+    EXPECT_FALSE(error.empty()) << "with the field renamed: " << field;
     EXPECT_EQ(error.substr(0, 7), "c.json:");
     EXPECT_NE(error.find(field), std::string::npos) << error;
     EXPECT_EQ(error.find('\n'), std::string::npos);
   }
 }
 
-TEST(PlatformConfigTest, RejectsWhatIsNoJsonAndNoFile) {
+TEST(PlatformConfigTest, RejectsInvalidJsonAndAMissingFile) {
   EXPECT_THROW(parse_platform_config("{", "c.json"), config::ConfigError);
   EXPECT_THROW(read_platform_config("/nonexistent"), config::ConfigError);
 }
--- a/tests/program/platform_server_test.cpp
+++ b/tests/program/platform_server_test.cpp
@@ -1,4 +1,4 @@
-/// A control plane instance on loopback with scripted peers and a scripted discovery server.
+/// Tests of a control plane instance on loopback with scripted peers and a scripted discovery server.
 #include "platform/platform_server.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
     changed.discovery = net::Address::parse(other.address());
     server.reload(changed);
   }
-  // Joins as proxy 3, and returns the weights that it receives: there are three replicas.
+  // Joins as proxy 3, and returns the weights that the proxy receives. The cached list has three replicas.
   static test::Weights join(test::Peer& peer) {
     peer.send_hello("3");
     return receive_weights(peer);
@@ -64,7 +64,7 @@
   return bytes;
 }
 
-TEST_F(PlatformServerTest, RejectsWhatUnidentifiedConnectionsMayNotSend) {
+TEST_F(PlatformServerTest, RejectsMessagesNotAllowedOnUnidentifiedConnections) {
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("*1\r\n$999999999\r\n"), std::string("*99\r\n"),
         std::string("\r\n"), encoded({"dance"}), encoded({"push", "full", "1"}),
@@ -78,7 +78,8 @@
 }
 
 TEST_F(PlatformServerTest, AcceptsAProxyDuringAFloodOfUnidentifiedConnections) {
-  // More silent ones and halves of messages than may be open: the oldest are closed.
+  // The flood has more connections than may be open, so the server closes the oldest. Half of the connections
+  // send nothing, the others an incomplete message.
   std::deque<test::Peer> flood;
   for (int n = 0; n < 90; ++n) {
     flood.emplace_back(address);
@@ -87,12 +88,12 @@
   test::Peer proxy(address);
   proxy.send_hello("1");
   EXPECT_EQ(receive_weights(proxy).size(), 3U);
-  // And none of them stays open for long.
+  // The server closes every connection of the flood within the identification timeout.
   for (auto& peer : flood) {
     const auto answer = peer.receive();
     EXPECT_TRUE(answer.empty() || answer.front() == "error");
   }
-  EXPECT_EQ(request_liveness(proxy), Words{"alive"}) << "whoever joined stays";
+  EXPECT_EQ(request_liveness(proxy), Words{"alive"}) << "the proxy that joined is not disconnected";
 }
 
 TEST_F(PlatformServerTest, ReplacesTheFirstStreamOfAProxyByItsSecond) {
@@ -107,7 +108,7 @@
   EXPECT_EQ(receive_weights(second)["s-2"], "0");
 }
 
-TEST_F(PlatformServerTest, DropsWrongMessagesOfWhoeverIsIdentified) {
+TEST_F(PlatformServerTest, DropsInvalidMessagesFromIdentifiedPeers) {
   test::Peer proxy(address);
   EXPECT_EQ(join(proxy).size(), 3U);
   proxy.send(
@@ -126,8 +127,8 @@
   EXPECT_EQ(join(proxy).size(), 3U);
   proxy.send_raw("?\r\n");
   EXPECT_TRUE(proxy.receive().empty());
-  test::Peer again(address);
-  EXPECT_EQ(join(again).size(), 3U);
+  test::Peer reconnected(address);
+  EXPECT_EQ(join(reconnected).size(), 3U);
 }
 
 TEST_F(PlatformServerTest, FollowsDiscoveryToTheReloadedAddress) {
@@ -145,17 +146,17 @@
   discovery.wait_until_disconnected();
 }
 
-TEST_F(PlatformServerTest, WatchesAnewAfterAListThatCannotBeRead) {
+TEST_F(PlatformServerTest, StartsANewWatchAfterAListThatCannotBeRead) {
   discovery.next_watch();
   test::Peer proxy(address);
   EXPECT_EQ(join(proxy).size(), 3U);
   discovery.send_line(endpoint_list(48, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2")));
-  EXPECT_EQ(receive_weights(proxy)["s-3"], "0") << "what a complete list leaves out is gone";
+  EXPECT_EQ(receive_weights(proxy)["s-3"], "0") << "a replica that is not in a complete list is gone";
   discovery.send_line("no list");
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1&after=48");
 }
 
-// --- Lists that go back, with a proxy that has joined
+// --- Updates of the endpoint list, with one proxy that has joined
 
 struct PlatformServerListTest : PlatformServerTest {
   void SetUp() override {
@@ -169,18 +170,18 @@
   test::Peer proxy{address};
 };
 
-TEST_F(PlatformServerListTest, BringsNothingBackFromAnOlderCompleteList) {
+TEST_F(PlatformServerListTest, IgnoresAnOlderCompleteList) {
   discovery.send_line(
       endpoint_list(43, false, endpoint_entry("s-1", "DRAINING") + "," + endpoint_entry("s-2", "DELETED")));
   EXPECT_EQ(receive_weights(proxy)["s-1"], "0");
-  FakeDiscovery behind;
-  move_discovery_to(behind);
-  behind.next_watch();
-  behind.send_line(endpoint_list(
+  FakeDiscovery outdated;
+  move_discovery_to(outdated);
+  outdated.next_watch();
+  outdated.send_line(endpoint_list(
       42, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2") + "," + endpoint_entry("s-3")));
-  behind.send_line(endpoint_list(43, false, endpoint_entry("s-1")));
-  // What comes after is applied, and nothing of the older list came with it.
-  behind.send_line(endpoint_list(44, false, endpoint_entry("s-4")));
+  outdated.send_line(endpoint_list(43, false, endpoint_entry("s-1")));
+  // Revision 44 is applied, and no entry of the older lists was applied with it.
+  outdated.send_line(endpoint_list(44, false, endpoint_entry("s-4")));
   test::Weights weights;
   while (!weights.contains("s-4")) {
     weights = receive_weights(proxy);
@@ -191,21 +192,22 @@
 }
 
 TEST_F(PlatformServerListTest, AppliesADrainFromTheOldAddressDuringAMove) {
-  FakeDiscovery behind;
-  move_discovery_to(behind);
-  behind.next_watch();
-  // The new address is up and has nothing newer; the old one has not closed yet.
-  behind.send_line("");
+  FakeDiscovery outdated;
+  move_discovery_to(outdated);
+  outdated.next_watch();
+  // The new discovery server answers without a newer list; the connection to the old server is still open.
+  outdated.send_line("");
   discovery.send_line(endpoint_list(42, false, endpoint_entry("s-2", "DRAINING")));
   EXPECT_EQ(receive_weights(proxy)["s-2"], "0");
   discovery.wait_until_disconnected();
 }
 
-TEST_F(PlatformServerListTest, LeavesAReplicaAsItWasWhoseEntryCannotBeRead) {
+TEST_F(PlatformServerListTest, KeepsTheStateOfAReplicaWhoseEntryCannotBeRead) {
   discovery.send_line(endpoint_list(42, true, endpoint_entry("s-1") + "," + endpoint_entry("s-2", "SPOILT")));
   const auto weights = receive_weights(proxy);
-  EXPECT_TRUE(weights.contains("s-3") && weights.at("s-3") == "0") << "left out: gone";
-  EXPECT_FALSE(weights.contains("s-2")) << "unreadable: as it was";
+  EXPECT_TRUE(weights.contains("s-3") && weights.at("s-3") == "0")
+      << "the replica is not in the list, so it is gone";
+  EXPECT_FALSE(weights.contains("s-2")) << "the entry is unreadable, so the replica's state is kept";
 }
 
 std::string unix_milliseconds() {
@@ -232,25 +234,26 @@
   return text.replace(text.find(from), from.size(), replacement);
 }
 
-// More replicas hang than are checked at once, and more wait than one iteration requests: whichever is listed
-// last is checked all the same.
-TEST(PlatformServerHealthCheckTest, ReachesEveryReplicaThoughManyHang) {
-  const auto hanging = net::listen_tcp({"127.0.0.1", 0}, 4096);  // connections come up, and get no answer
+// More replicas hang than are checked concurrently, and more checks are queued than one iteration of the
+// control loop requests. The replica that is listed last must be checked nevertheless.
+TEST(PlatformServerHealthCheckTest, ChecksEveryReplicaWhileManyHang) {
+  const auto hanging =
+      net::listen_tcp({"127.0.0.1", 0}, 4096);  // connections succeed, requests get no answer
   const auto healthy = net::listen_tcp({"127.0.0.1", 0}, 64);
   std::string entries;
   for (int n = 0; n < 120; ++n) {
-    const auto name = "hangs-" + std::to_string(n);
+    const auto name = "hanging-" + std::to_string(n);
     entries += endpoint_entry(name, "SERVING", net::local_address(hanging).text()) + ",";
   }
-  entries += endpoint_entry("well", "SERVING", net::local_address(healthy).text());
+  entries += endpoint_entry("healthy", "SERVING", net::local_address(healthy).text());
   auto text = replaced(test::platform_config(), R"("via":"piggyback")", R"("via":"pull")");
   const std::string list_begin = R"("members":[)";
   const auto entries_begin = text.find(list_begin) + list_begin.size();
   text.replace(entries_begin, text.find(']', entries_begin) - entries_begin, entries);
   const PlatformServer server(parse_platform_config(text, "test"), silent_logger());
-  for (int times = 0; times < 2; ++times) {
+  for (int checks = 0; checks < 2; ++checks) {
     const auto connection = net::accept(healthy, net::Steady::now() + 15s);
-    ASSERT_TRUE(connection) << "after " << times;
+    ASSERT_TRUE(connection) << "earlier health checks: " << checks;
   }
 }
 
--- a/tests/program/platform_signals.sh
+++ b/tests/program/platform_signals.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# A governor on the platform meets a good and a bad new configuration, and its end. The first argument: the program.
+# Sends signals to a control plane instance on the platform: reloads a valid and an invalid configuration, then
+# terminates the instance while reloads are pending. First argument: path of the program.
 set -eu
 folder=$(mktemp -d)
 pid=
@@ -32,7 +33,8 @@
 echo "{" > "$config"
 kill -HUP "$pid"
 logged "changes nothing: $config: no JSON"
-# What was bad is mended; then one signal comes during the other, and the end right behind them.
+# Restores the valid configuration, then sends two reload signals and a termination signal in quick succession, so
+# that each signal may arrive while the previous one is handled. The program must exit with status 0.
 mv "$folder/good" "$config"
 kill -HUP "$pid"
 kill -HUP "$pid"
--- a/tests/program/platform_support.h
+++ b/tests/program/platform_support.h
@@ -1,5 +1,5 @@
-/// What the tests of the platform's streams, discovery and configuration share: a configuration, endpoint
-/// lists, and scripted peers on loopback.
+/// Shared helpers for the tests of the platform's streams, discovery and configuration: a configuration,
+/// endpoint lists, a scripted peer and a scripted discovery server on loopback.
 #pragma once
 
 #include <algorithm>
@@ -23,13 +23,13 @@
 
 /// The words of a message.
 using Words = std::vector<std::string>;
-/// Weights by the replica's name, as they are written on the stream; "0" takes the replica out.
+/// Weights by replica name, in the text form of the stream; "0" removes the replica.
 using Weights = std::map<std::string, std::string>;
 
-/// How long a scripted peer waits for what must come.
+/// Time for which a scripted peer waits for expected data.
 inline constexpr auto kPeerTimeout = std::chrono::seconds(10);
 
-/// An entry of a list, in discovery's form.
+/// Returns one entry of an endpoint list in discovery's JSON format.
 inline std::string endpoint_entry(const std::string& id, const std::string& phase = "SERVING",
                                   const std::string& address = "127.0.0.1:9",
                                   const std::string& started_ms = "0") {
@@ -38,13 +38,15 @@
          R"(","size":1.0,"up_since_ms":)" + started_ms + "}";
 }
 
-/// A list, or changes of one, in discovery's form; `entries` are separated by commas.
+/// Returns an endpoint list, complete or with changes only, in discovery's JSON format. `entries`:
+/// comma-separated entries.
 inline std::string endpoint_list(int revision, bool complete, const std::string& entries) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
          R"(,"members":[)" + entries + "]}";
 }
 
-/// Two zones, two classes, ten proxies, three replicas; ports of the system's choice.
+/// Returns a configuration with two zones, two request classes, ten proxies and three replicas. The system
+/// chooses the listening port.
 inline std::string platform_config(const std::string& discovery = "127.0.0.1:9") {
   return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":32,"sockets":96},
@@ -62,7 +64,8 @@
 "head":6.0,"pushes-allowed":12,"counted-over-s":10.0,"default-retry":1}}})";
 }
 
-/// One end of a connection to the server. Reads wait for a bounded time, and throw where nothing comes.
+/// The client end of a connection to the server. A read throws `net::Error` if no data arrives within
+/// `kPeerTimeout`.
 class Peer {
  public:
   explicit Peer(const net::Address& server) : socket_(net::connect(server, deadline())) {}
@@ -76,12 +79,12 @@
     send({"hello", "id", id, "site", "east", "rps", "20.5", "new", "1"});
   }
   void close() { socket_.close(); }
-  /// The other end sees a broken connection instead of an orderly end.
+  /// Closes the connection with a reset, which the server reads as an error instead of an end of the stream.
   void reset() {
     socket_.reset_on_close();
     socket_.close();
   }
-  /// The next message; empty if the server closed or reset the connection.
+  /// Returns the next message; empty if the server closed or reset the connection.
   Words receive() {
     for (;;) {
       if (const auto words = reader_.next()) return {words->begin(), words->end()};
@@ -94,7 +97,7 @@
 
  private:
   static net::Deadline deadline() { return net::Steady::now() + kPeerTimeout; }
-  // 0 if the server closed or reset the connection.
+  // Returns the number of bytes read, or 0 if the server closed or reset the connection.
   std::size_t read(std::span<char> buffer) {
     try {
       return net::read_some(socket_, buffer, deadline());
@@ -108,13 +111,13 @@
   resp::MessageReader reader_{{std::size_t{1} << 20, 4096}};
 };
 
-/// The answer to a liveness request, which is "alive".
+/// Sends a liveness request and returns the answer, which must be "alive".
 inline Words request_liveness(Peer& peer) {
   peer.send({"probe"});
   return peer.receive();
 }
 
-/// The weights in a list such as "s-1:0.5,s-2:0".
+/// Parses the weights in a list such as "s-1:0.5,s-2:0".
 inline Weights parse_weights(const std::string& endpoints) {
   Weights weights;
   std::size_t begin = 0;
@@ -128,7 +131,8 @@
   return weights;
 }
 
-/// The weights of the next push that has any; none if the server ended the connection.
+/// Receives messages until one contains weights, and returns these weights; empty if the server closed the
+/// connection.
 inline Weights receive_weights(Peer& peer) {
   for (;;) {
     const auto words = peer.receive();
@@ -141,20 +145,22 @@
   }
 }
 
-/// A scripted discovery server: takes one watch after the other and sends what the test says.
+/// A scripted discovery server: accepts one watch after the other and sends the lines that the test passes.
 class FakeDiscovery {
  public:
-  static constexpr const char* kNoRequest = "nobody came";
+  static constexpr const char* kNoRequest = "no request arrived in time";
   FakeDiscovery() : listener_(net::listen_tcp({"127.0.0.1", 0}, 8)) {}
   std::string address() const { return net::local_address(listener_).text(); }
-  /// The target of the next watch, whose answer begins.
+  /// Waits for the next watch, sends the header of the answer, and returns the target of the request;
+  /// `kNoRequest` if no watch arrives in time.
   std::string next_watch() {
     auto target = next_request();
     if (target != kNoRequest)
       write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     return target;
   }
-  /// The target of the next watch, and nothing is answered.
+  /// Waits for the next request and returns its target without an answer; `kNoRequest` if no request arrives
+  /// in time.
   std::string next_request() {
     auto accepted = net::accept(listener_, net::Steady::now() + kPeerTimeout);
     if (!accepted) return kNoRequest;
@@ -162,7 +168,7 @@
     const auto request = watch_->read_request({});
     return request ? request->target : "";
   }
-  /// Sends a line on the watch, in pieces, as networks deliver them.
+  /// Sends a line on the watch in several pieces, so that the client has to reassemble the line.
   void send_line(const std::string& line) {
     std::array<char, 20> size{};
     std::snprintf(size.data(), size.size(), "%zx\r\n", line.size() + 1);
@@ -173,7 +179,7 @@
   void write(const std::string& bytes) {
     net::write_fully(watch_->socket(), bytes, net::Steady::now() + kPeerTimeout);
   }
-  /// Waits until the other side ends the watch.
+  /// Waits until the client closes the watch.
   void wait_until_disconnected() {
     char byte = 0;
     while (net::read_some(watch_->socket(), {&byte, 1}, net::Steady::now() + kPeerTimeout) > 0) {
--- a/tests/program/resp_test.cpp
+++ b/tests/program/resp_test.cpp
@@ -1,4 +1,4 @@
-/// The framing of messages, beside a plain reader that takes one byte at a time.
+/// Tests of the message framing, which compare `MessageReader` with a reference reader.
 #include "resp/resp.h"
 
 #include <gtest/gtest.h>
@@ -14,14 +14,14 @@
 
 using Words = std::vector<std::string>;
 
-// The plain reader's own bounds of a line such as "*3\r\n": its sign, eight digits and its end.
+// Limits of the reference reader for a line such as "*3\r\n": type byte, at most eight digits, line end.
 constexpr std::size_t kMaxDigits = 8;
 constexpr std::size_t kMaxLineBytes = 11;
 
-// Reads a byte at a time, and knows no shortcut.
-class PlainReader {
+// Reference implementation of the reader: reads one byte at a time and checks the whole line after each byte.
+class ReferenceReader {
  public:
-  explicit PlainReader(MessageLimits limits) : limits_(limits) {}
+  explicit ReferenceReader(MessageLimits limits) : limits_(limits) {}
 
   void append(char byte) {
     if (malformed_) return;
@@ -67,8 +67,8 @@
     }
   }
   bool is_line_malformed() const {
-    const char sign = state_ == State::word_count ? '*' : '$';
-    if (line_.front() != sign) return true;
+    const char type_byte = state_ == State::word_count ? '*' : '$';
+    if (line_.front() != type_byte) return true;
     if (line_.size() > kMaxLineBytes || message_bytes_ > limits_.max_bytes + kMaxLineBytes) return true;
     const auto digits_end = line_.find('\r');
     const auto digits = line_.substr(1, digits_end - 1);
@@ -102,7 +102,7 @@
   bool malformed_ = false;
 };
 
-// Some messages, often sound and sometimes with a byte changed.
+// Returns the bytes of up to three random messages. In about half of the cases, one byte is overwritten.
 std::string arbitrary_stream() {
   std::string bytes;
   for (int n = *rc::gen::inRange(0, 4); n > 0; --n) {
@@ -122,7 +122,7 @@
   bool malformed = false;
 };
 
-// What the reader makes of the bytes in pieces of any size.
+// Passes the bytes to a `MessageReader` in pieces of random size, and returns the messages read.
 ReadResult read_in_pieces(const std::string& bytes, MessageLimits limits) {
   MessageReader reader(limits);
   ReadResult result;
@@ -141,14 +141,14 @@
   return result;
 }
 
-RC_GTEST_PROP(MessageReaderTest, ReadsLikeAPlainReaderWhateverThePieces, ()) {
+RC_GTEST_PROP(MessageReaderTest, ReadsLikeTheReferenceReaderForPiecesOfAnySize, ()) {
   const MessageLimits limits{200, 8};
   const auto bytes = arbitrary_stream();
-  PlainReader plain(limits);
-  for (const char byte : bytes) plain.append(byte);
+  ReferenceReader reference(limits);
+  for (const char byte : bytes) reference.append(byte);
   const auto result = read_in_pieces(bytes, limits);
-  RC_ASSERT(result.messages == plain.messages());
-  RC_ASSERT(result.malformed == plain.malformed());
+  RC_ASSERT(result.messages == reference.messages());
+  RC_ASSERT(result.malformed == reference.malformed());
 }
 
 TEST(MessageReaderTest, RejectsALengthBeforeItsBytesCome) {
--- a/tests/program/stream_server_test.cpp
+++ b/tests/program/stream_server_test.cpp
@@ -1,5 +1,5 @@
-/// Events on streams that can cross, each made to happen in the bad order by scripted peers on loopback.
-/// docs/notes/crossings.md has a row for each.
+/// Tests of race conditions between events on streams. Scripted peers on loopback produce the critical order
+/// of events in each test. docs/notes/crossings.md has a row for each race condition.
 #include "platform/stream_server.h"
 
 #include <fcntl.h>
@@ -35,16 +35,17 @@
 using test::request_liveness;
 using test::Words;
 
-// Records each event, and holds the server's thread while a test arranges what that will find.
+// Records each event. `pause` blocks the server's thread, so that a test can prepare several events which the
+// thread handles in one iteration after `resume`.
 class PausingHandler : public StreamEventHandler {
  public:
   void on_proxy_joined(ProxyId proxy, ZoneId, double, bool) override {
-    note("joined " + std::to_string(static_cast<int>(proxy)));
+    record("joined " + std::to_string(static_cast<int>(proxy)));
   }
-  void on_proxy_left(ProxyId proxy) override { note("left " + std::to_string(static_cast<int>(proxy))); }
-  void on_replica_load_report(const ReplicaLoadReport&) override { note("load report"); }
-  void on_demand_report(ProxyId, const DemandReport&) override { note("demand report"); }
-  void on_acknowledgement(ProxyId, std::uint64_t, Nanos) override { note("acknowledgement"); }
+  void on_proxy_left(ProxyId proxy) override { record("left " + std::to_string(static_cast<int>(proxy))); }
+  void on_replica_load_report(const ReplicaLoadReport&) override { record("load report"); }
+  void on_demand_report(ProxyId, const DemandReport&) override { record("demand report"); }
+  void on_acknowledgement(ProxyId, std::uint64_t, Nanos) override { record("acknowledgement"); }
   std::vector<ProxyId> due_proxies() override {
     std::unique_lock lock(mutex_);
     ++iterations_;
@@ -57,7 +58,7 @@
   std::string next_message(ProxyId) override { return {}; }
   void log_peer_error(const std::string&) override {}
 
-  // Returns once the server's thread stands.
+  // Returns once the server's thread is blocked.
   void pause() {
     std::unique_lock lock(mutex_);
     pause_requested_ = true;
@@ -84,7 +85,7 @@
   }
 
  private:
-  void note(const std::string& event) {
+  void record(const std::string& event) {
     const std::lock_guard lock(mutex_);
     events_.push_back(event);
     changed_.notify_all();
@@ -115,7 +116,7 @@
     server->stop();
     server = make_server(max_connections);
   }
-  // Connected, and known to the server.
+  // Returns a connected peer whose connection the server has accepted.
   test::Peer accepted_peer() const {
     test::Peer peer(server->address());
     EXPECT_EQ(request_liveness(peer), Words{"alive"});
@@ -144,7 +145,7 @@
   newer.send_hello("3");
   ASSERT_TRUE(handler.wait_for("joined 3"));
   older.send_hello("3");
-  EXPECT_TRUE(older.receive().empty()) << "it is closed";
+  EXPECT_TRUE(older.receive().empty()) << "the older connection is closed";
   EXPECT_EQ(request_liveness(newer), Words{"alive"});
   EXPECT_EQ(handler.events(), Words{"joined 3"});
 }
@@ -190,7 +191,7 @@
   EXPECT_EQ(handler.events(), (Words{"joined 3", "acknowledgement", "demand report", "left 3"}));
 }
 
-// Sends each byte on its own, until the server closes the connection.
+// Sends each byte in a separate write, and stops if the server closes the connection.
 void send_single_bytes(test::Peer& peer, std::string_view bytes) {
   try {
     for (std::size_t n = 0; n < bytes.size(); ++n) peer.send_raw(bytes.substr(n, 1));
@@ -199,7 +200,7 @@
   }
 }
 
-TEST_F(StreamServerTest, JoinsNoMessageAcrossTwoConnections) {
+TEST_F(StreamServerTest, NeverAssemblesAMessageFromTwoConnections) {
   const auto hello = hello_bytes("3");
   const auto half = hello.size() / 2;
   {
@@ -216,53 +217,53 @@
   EXPECT_EQ(handler.events(), Words{"joined 3"});
 }
 
-TEST_F(StreamServerTest, ClosesNoConnectionForANewOneWhoseHelloWaitsToBeRead) {
+TEST_F(StreamServerTest, KeepsConnectionsWithAnUnreadHelloWhenANewOneIsAccepted) {
   restart_server(2);
   auto first = accepted_peer();
   auto second = accepted_peer();
   handler.pause();
-  // The new connection is seen before the bytes, in one iteration.
+  // The server accepts the new connection before it reads the two hellos, all in one iteration.
   test::Peer third(server->address());
   first.send_hello("1");
   second.send_hello("2");
   handler.resume();
   EXPECT_TRUE(handler.wait_for("joined 1"));
   EXPECT_TRUE(handler.wait_for("joined 2"));
-  EXPECT_TRUE(third.receive().empty()) << "whoever joined is not closed for it";
+  EXPECT_TRUE(third.receive().empty()) << "no connection that joined is closed in favour of the new one";
 }
 
-TEST_F(StreamServerTest, ReadsAHelloThatWaitsWhenTheTimeToJoinEnds) {
-  constexpr int kPeers = 300;  // more than one wait of the poller tells of
+TEST_F(StreamServerTest, ReadsAPendingHelloWhenTheIdentificationTimeoutExpires) {
+  constexpr int kPeers = 300;  // more connections than one wait of the poller returns
   restart_server(kPeers + 10);
   std::deque<test::Peer> peers;
   for (int n = 0; n < kPeers; ++n) peers.emplace_back(server->address());
-  // Connections are accepted in their order, so all are known once the last one is.
+  // Connections are accepted in order, so all are accepted once the server answers on the last connection.
   ASSERT_EQ(request_liveness(peers.back()), Words{"alive"});
   handler.pause();
   for (int n = 0; n < kPeers; ++n) peers[static_cast<std::size_t>(n)].send_hello(std::to_string(n));
-  std::this_thread::sleep_for(1600ms);  // past the time to join
+  std::this_thread::sleep_for(1600ms);  // longer than the identification timeout of 1.5 s
   handler.resume();
   for (int n = 0; n < kPeers; ++n) EXPECT_TRUE(handler.wait_for("joined " + std::to_string(n)));
 }
 
-// The limit of the process's descriptors, which is as before once this is destroyed.
+// Changes the limit of the process's file descriptors; the destructor restores the previous limit.
 class DescriptorLimit {
  public:
-  DescriptorLimit() : known_(::getrlimit(RLIMIT_NOFILE, &before_) == 0) {}
+  DescriptorLimit() : has_previous_(::getrlimit(RLIMIT_NOFILE, &previous_) == 0) {}
   DescriptorLimit(const DescriptorLimit&) = delete;
   DescriptorLimit& operator=(const DescriptorLimit&) = delete;
   ~DescriptorLimit() {
-    if (known_) ::setrlimit(RLIMIT_NOFILE, &before_);
+    if (has_previous_) ::setrlimit(RLIMIT_NOFILE, &previous_);
   }
-  bool is_known() const { return known_; }
+  bool was_read() const { return has_previous_; }
   bool lower_to(rlim_t descriptors) const {
-    const rlimit lowered{std::min(descriptors, before_.rlim_max), before_.rlim_max};
+    const rlimit lowered{std::min(descriptors, previous_.rlim_max), previous_.rlim_max};
     return ::setrlimit(RLIMIT_NOFILE, &lowered) == 0;
   }
 
  private:
-  rlimit before_{};
-  const bool known_;
+  rlimit previous_{};
+  const bool has_previous_;
 };
 
 std::vector<net::Socket> take_all_descriptors() {
@@ -287,9 +288,9 @@
   net::write_fully(socket, hello_bytes(id), net::Steady::now() + 10s);
 }
 
-TEST_F(StreamServerTest, ServesWhoeverJoinedWhileDescriptorsAreExhausted) {
+TEST_F(StreamServerTest, ServesJoinedProxiesWhileDescriptorsAreExhausted) {
   const DescriptorLimit limit;
-  ASSERT_TRUE(limit.is_known());
+  ASSERT_TRUE(limit.was_read());
   ASSERT_TRUE(limit.lower_to(512));
   auto unidentified = accepted_peer();
   auto joined = accepted_peer();
@@ -303,8 +304,8 @@
   send_hello_on(newcomers[0], "2");
   const auto iterations_before = handler.iterations();
   handler.resume();
-  // The unidentified one is closed for the first newcomer; for the second there is none. Whoever joined is
-  // served meanwhile, and the server doesn't iterate without a wait.
+  // The server closes the unidentified connection to accept the first newcomer; it has none to close for the
+  // second. Meanwhile the server must answer the proxy that joined, and must not loop without waiting.
   EXPECT_TRUE(unidentified.receive().empty());
   ASSERT_TRUE(handler.wait_for("joined 2"));
   for (int n = 0; n < 5; ++n) {
@@ -314,7 +315,7 @@
   EXPECT_LT(handler.iterations() - iterations_before, 200U);
   descriptors.clear();
   send_hello_on(newcomers[1], "3");
-  EXPECT_TRUE(handler.wait_for("joined 3")) << "and the second is accepted in the end";
+  EXPECT_TRUE(handler.wait_for("joined 3")) << "the second newcomer is accepted once descriptors are free";
 }
 
 }  // namespace
