--- a/src/platform/endpoint_registry.cpp
+++ b/src/platform/endpoint_registry.cpp
@@ -30,7 +30,8 @@
       ++changes.rejected;
       continue;
     }
-    // The registry and the controller have no state to remove for an unregistered replica that is gone.
+    // An entry for an unregistered replica that is gone is skipped: neither the registry nor the controller
+    // has state of that replica.
     if (gone && !ids_.contains(entry.name)) continue;
     apply_entry(entry, changes);
   }
--- a/src/platform/endpoint_registry.h
+++ b/src/platform/endpoint_registry.h
@@ -17,7 +17,7 @@
 
 namespace ospreypost::platform {
 
-/// A replica as discovery last listed it.
+/// State of a replica according to the endpoint lists that were applied.
 struct RegisteredEndpoint {
   std::string name;
   net::Address address;  ///< last listed address; kept while the replica is gone
--- a/src/platform/gossip_channel.cpp
+++ b/src/platform/gossip_channel.cpp
@@ -47,8 +47,8 @@
 }
 
 void GossipChannel::receive_until_stopped() {
-  // One byte larger than the longest permitted message. A datagram larger than the buffer is truncated, and
-  // could not be distinguished from one of the permitted length without the extra byte.
+  // The buffer is one byte larger than the longest permitted message. A datagram larger than the buffer is
+  // truncated, and could not be distinguished from one of the permitted length without the extra byte.
   std::array<std::uint8_t, kMaxMessageBytes + 1> buffer{};
   while (!stopping_) {
     const auto datagram = net::receive_from(socket_, buffer, net::Steady::now() + kStopCheckInterval);
--- a/src/platform/health_checker.h
+++ b/src/platform/health_checker.h
@@ -29,8 +29,7 @@
  public:
   /// Called from a thread of the pool with the result of each health check.
   using ResultCallback = std::function<void(const HealthCheckResult&)>;
-  /// Called from a thread of the pool with an error message for each load report that is dropped as
-  /// malformed.
+  /// Called from a thread of the pool with an error message for each malformed load report.
   using ErrorCallback = std::function<void(const std::string&)>;
   /// `load_columns`: column names of the load report that a replica's answer may contain, in the order of the
   /// settings. Throws `net::Error` if the threads cannot be created.
--- a/src/platform/messages.cpp
+++ b/src/platform/messages.cpp
@@ -17,12 +17,11 @@
 namespace ospreypost::platform {
 namespace {
 
-// Upper bounds of message fields, above the values in any valid message. A message with a higher value is
-// rejected.
+// Upper bounds of message fields. No valid message has higher values, so messages above a bound are rejected.
 constexpr double kMaxMilliseconds = 600'000;
 constexpr std::uint64_t kMaxCount = 10'000'000;
 constexpr double kMaxLoad = 1e6;
-constexpr double kMaxUtilization = 2;  // as a multiple of the replica's cores
+constexpr double kMaxUtilization = 2;  // of the `util` column, as a multiple of the replica's CPU capacity
 constexpr double kMaxRequestsPerSecond = 1e6;
 constexpr std::uint64_t kMaxProxyId = 65534;
 
--- a/src/platform/messages.h
+++ b/src/platform/messages.h
@@ -42,11 +42,9 @@
   virtual void on_proxy_hello(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) = 0;
   /// The sender is a collector, which forwards the load reports of all proxies in that zone.
   virtual void on_collector_hello(ZoneId zone) = 0;
-  /// A load report arrived, with the outcomes and latencies that the proxies of one zone measured at one
-  /// replica.
+  /// A load report arrived: outcomes and latencies that one zone's proxies measured at one replica.
   virtual void on_replica_load_report(const ReplicaLoadReport& report) = 0;
-  /// A demand report arrived, with the number of requests of one class that arrived at the proxy, and the
-  /// number of those that failed.
+  /// A demand report arrived: how many requests of one class arrived at the proxy and how many failed.
   virtual void on_demand_report(ProxyId proxy, const DemandReport& report) = 0;
   /// The proxy acknowledges a table update. `nonce`: nonce of the acknowledgement request. `elapsed`: time
   /// since the request was sent, by the proxy's clock.
@@ -63,9 +61,9 @@
   std::function<std::optional<ReplicaId>(std::string_view)> find_replica;
 };
 
-/// Parses one message and calls the matching method of the handler. `words` must not be empty. Throws
-/// `MessageError` if the message is rejected; the handler is not called then. Exceptions of the handler are
-/// propagated.
+/// Parses one message and calls the matching method of the handler. `words` must not be empty.
+/// Throws `MessageError` if the message is rejected; the handler is not called then.
+/// Exceptions of the handler are propagated.
 void parse_message(const std::vector<std::string_view>& words, const MessageNames& names,
                    const MessageSender& sender, MessageHandler& handler);
 
@@ -75,8 +73,8 @@
 std::vector<float> parse_load_columns(std::string_view text, char separator,
                                       const std::vector<std::string>& columns);
 /// Parses the load report in the body of a replica's answer to a health check, and returns the values in the
-/// order of `columns`; empty if the body contains no load report. Throws `MessageError` like
-/// `parse_load_columns`.
+/// order of `columns`; empty if the body contains no load report.
+/// Throws `MessageError` in the same cases as `parse_load_columns`.
 std::vector<float> parse_load_report(std::string_view body, const std::vector<std::string>& columns);
 
 }  // namespace ospreypost::platform
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -54,7 +54,8 @@
       log_(std::move(log)),
       peer_errors_(log_, kPeerErrorLogInterval),
       delivery_(config_, steady_now() - unix_now()) {
-  // Created before the driver, as the controller may request a health check as soon as the driver exists.
+  // The health checker is created before the driver, as the controller may request a health check as soon as
+  // the driver exists.
   health_checker_ = make_health_checker();
   driver_ = make_driver();
   endpoint_list_intake_ = make_endpoint_list_intake();
--- a/src/platform/stream_delivery.h
+++ b/src/platform/stream_delivery.h
@@ -45,8 +45,7 @@
 
   /// Returns the proxies that may have a pending message.
   std::vector<ProxyId> due_proxies() const;
-  /// Returns the encoded messages for a proxy, which count as sent from then on; empty if no message is
-  /// pending.
+  /// Returns the encoded pending messages for a proxy, which count as sent from then on; may be empty.
   std::string next_message(ProxyId proxy);
 
   /// Returns the id of a replica; empty if no replica of that name is registered.
@@ -63,7 +62,7 @@
   std::string_view name_of(ReplicaId replica) const;
 
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`.
+  // The members below are guarded by `mutex_`.
   TableUpdateEncoder encoder_;
   EndpointRegistry registry_;
   std::shared_ptr<const routing_state::RoutingSnapshot> snapshot_ =
--- a/src/platform/stream_server.cpp
+++ b/src/platform/stream_server.cpp
@@ -151,7 +151,7 @@
 void StreamServer::on_ready(const net::Poller::Ready& event) {
   if (event.key == kListenerKey) return accept_connections();
   const auto known = connections_.find(event.key);
-  if (known == connections_.end()) return;  // closed while an earlier event was handled
+  if (known == connections_.end()) return;  // the connection was closed during an earlier event
   auto& connection = known->second;
   if (event.writable && !write(connection, {})) return close_connection(event.key);
   if (event.readable) on_readable(connection);
@@ -211,8 +211,7 @@
   }
 }
 
-// Reads the received bytes of the connection first, as they may contain its hello. This may close the
-// connection.
+// Reads the received bytes first, as they may contain the hello. The read may also close the connection.
 bool StreamServer::is_still_unidentified(std::uint64_t key) {
   on_readable(connections_.at(key));
   return unidentified_.contains(key);
--- a/src/platform/stream_server.h
+++ b/src/platform/stream_server.h
@@ -30,7 +30,7 @@
   virtual void on_proxy_joined(ProxyId proxy, ZoneId zone, double requests_per_second, bool newly_added) = 0;
   /// The proxy's stream ended, and the proxy has no newer stream.
   virtual void on_proxy_left(ProxyId proxy) = 0;
-  /// A report or an acknowledgement arrived; the arguments are those of `MessageHandler`.
+  /// A report or an acknowledgement arrived. The arguments are those of the same methods of `MessageHandler`.
   virtual void on_replica_load_report(const ReplicaLoadReport& report) = 0;
   virtual void on_demand_report(ProxyId proxy, const DemandReport& report) = 0;
   virtual void on_acknowledgement(ProxyId proxy, std::uint64_t nonce, Nanos elapsed) = 0;
@@ -101,7 +101,8 @@
   std::set<std::uint64_t> unidentified_;            // connection keys, oldest first
   std::map<ProxyId, std::uint64_t> proxy_streams_;  // connection key of each proxy's stream
   std::uint64_t last_key_ = 0;
-  std::optional<net::Deadline> resume_accepting_at_;  // set while accepting is paused
+  // Time at which accepting resumes; empty unless accepting is paused.
+  std::optional<net::Deadline> resume_accepting_at_;
   std::atomic<bool> stopping_ = false;
   net::Thread thread_;
 };
--- a/src/platform/table_push.cpp
+++ b/src/platform/table_push.cpp
@@ -20,8 +20,7 @@
 // Smallest positive number that can be written with five decimals.
 constexpr double kMinWrittenNumber = 1e-5;
 
-// Formats a positive number with at most five decimals. Never writes an exponent, which some readers don't
-// accept.
+// Formats a positive number with at most five decimals, without an exponent, which some readers reject.
 std::string format_positive(double value) {
   std::array<char, 32> buffer{};
   std::snprintf(buffer.data(), buffer.size(), "%.5f", std::max(value, kMinWrittenNumber));
@@ -77,7 +76,8 @@
   for (std::size_t n = first_change; n < end; ++n) {
     const auto& change = push.changes[n];
     const auto name = name_of_(change.replica);
-    // A proxy closes a stream on which it receives the name of a replica that discovery never listed.
+    // A replica whose name was released is skipped, as a proxy closes a stream on which it receives a name
+    // that discovery never listed.
     if (name.empty()) continue;
     ++entries_;
     if (!endpoints.empty()) endpoints += ',';
--- a/src/platform/table_push.h
+++ b/src/platform/table_push.h
@@ -23,11 +23,11 @@
   double weight = 0;
 };
 
-/// One update of the routing tables of several request classes. Absent or empty parts leave the tables
-/// unchanged.
+/// One update of the routing tables of some request classes. Absent or empty parts change nothing.
 struct TablePush {
   std::vector<std::size_t> classes;  ///< indices in the settings; empty: all classes
-  bool complete = false;             ///< the tables are cleared and their policy reset before `changes` apply
+  /// If true, the proxy clears the tables and resets their policy to the default before it applies `changes`.
+  bool complete = false;
   std::vector<WeightChange> changes;
   std::optional<routing_state::TrafficPolicy> policy;
 };
--- a/src/platform/table_update_encoder.h
+++ b/src/platform/table_update_encoder.h
@@ -30,8 +30,7 @@
   void on_proxy_joined(ProxyId proxy);
   /// The proxy's stream ended: no message is pending for the proxy any more.
   void on_proxy_left(ProxyId proxy);
-  /// Sets the snapshot that the proxy must receive. Does nothing if the proxy has no stream or `snapshot` is
-  /// null.
+  /// Sets the snapshot for the proxy. Does nothing if the proxy has no stream or `snapshot` is null.
   void on_published(ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> snapshot);
   /// Schedules the removal of these replicas from the routing tables of proxies for which no snapshot has
   /// been published on their stream. Such a proxy may still use tables from before the stream.
@@ -43,14 +42,14 @@
 
   /// Returns the proxies that may have a pending message.
   const std::set<ProxyId>& due_proxies() const { return due_; }
-  /// Returns the pending message for a proxy, which counts as sent from then on.
+  /// Returns the pending message for a proxy, which counts as sent from then on; its `bytes` are empty if no
+  /// message is pending.
   TableUpdateMessage next_message(ProxyId proxy, const EndpointNames& name_of);
 
   /// Returns the acknowledgement requests that an answer with `nonce` completes, including those of earlier
   /// messages; empty if no request with this nonce is pending.
   std::vector<AckRequestId> on_acknowledgement(ProxyId proxy, std::uint64_t nonce);
-  /// Returns those of `replicas` that are in no proxy's routing table, neither in a sent nor in a published
-  /// one.
+  /// Returns those of `replicas` that are neither in a sent nor in a published table of any proxy.
   std::vector<ReplicaId> unused_replicas(const std::vector<ReplicaId>& replicas) const;
 
  private:
--- a/tests/program/platform_signals.sh
+++ b/tests/program/platform_signals.sh
@@ -22,7 +22,7 @@
   tries=0
   until grep -q "$1" "$folder/log"; do
     tries=$((tries + 1))
-    if [ "$tries" -gt 100 ] || ! kill -0 "$pid"; then echo "never logged: $1"; cat "$folder/log"; exit 1; fi
+    if [ "$tries" -gt 100 ] || ! kill -0 "$pid"; then echo "not logged within 10 s or before the exit of the program: $1"; cat "$folder/log"; exit 1; fi
     sleep 0.1
   done
 }
--- a/tests/program/platform_support.h
+++ b/tests/program/platform_support.h
@@ -21,7 +21,7 @@
 
 namespace ospreypost::test {
 
-/// The words of a message.
+/// The words of one RESP message.
 using Words = std::vector<std::string>;
 /// Weights by replica name, in the text form of the stream; "0" removes the replica.
 using Weights = std::map<std::string, std::string>;
@@ -131,8 +131,8 @@
   return weights;
 }
 
-/// Receives messages until one contains weights, and returns these weights; empty if the server closed the
-/// connection.
+/// Receives messages until one contains weights, and returns the weights.
+/// Returns no weights if the server closed the connection.
 inline Weights receive_weights(Peer& peer) {
   for (;;) {
     const auto words = peer.receive();
@@ -159,8 +159,8 @@
       write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     return target;
   }
-  /// Waits for the next request and returns its target without an answer; `kNoRequest` if no request arrives
-  /// in time.
+  /// Waits for the next request and returns its target without sending an answer; `kNoRequest` if no request
+  /// arrives in time.
   std::string next_request() {
     auto accepted = net::accept(listener_, net::Steady::now() + kPeerTimeout);
     if (!accepted) return kNoRequest;
--- a/tests/program/stream_server_test.cpp
+++ b/tests/program/stream_server_test.cpp
@@ -93,7 +93,7 @@
 
   std::mutex mutex_;
   std::condition_variable changed_;
-  // Guarded by `mutex_`.
+  // The members below are guarded by `mutex_`.
   Words events_;
   std::size_t iterations_ = 0;
   bool pause_requested_ = false;
