--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -22,9 +22,9 @@
   auto text = test::small_config_text();
   const auto begin = text.find("<proxy name"), end = text.find("</proxies>");
   text = text.substr(0, begin) + known + text.substr(end);
-  text = test::with(text, "\"5000\" most-waiting=\"10000\"",
-                    "\"" + std::to_string(50 * proxies + 1000) + "\" most-waiting=\"" +
-                        std::to_string(200 * proxies + 2000) + "\"");
+  text = test::replace_first(text, "\"5000\" most-waiting=\"10000\"",
+                             "\"" + std::to_string(50 * proxies + 1000) + "\" most-waiting=\"" +
+                                 std::to_string(200 * proxies + 2000) + "\"");
   return config::parse_config(text, "fleet");
 }
 
--- a/fuzz/receiver.cpp
+++ b/fuzz/receiver.cpp
@@ -9,12 +9,12 @@
 namespace fs = std::filesystem;
 using namespace ospreypost;
 
-struct RegisteredEndpoint {
-  RegisteredEndpoint() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     auto pattern = (fs::temp_directory_path() / "ospreypost-fuzz-XXXXXX").string();
     path = ::mkdtemp(pattern.data());
   }
-  ~RegisteredEndpoint() { fs::remove_all(path); }
+  ~TemporaryFolder() { fs::remove_all(path); }
   fs::path path;
 };
 
@@ -36,7 +36,7 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  static const RegisteredEndpoint place;
+  static const TemporaryFolder place;
   static files::Receiver receiver({{"127.0.0.1", 0}, (place.path / "tables").string(), 3, false, {}});
   if (size == 0) return 0;
   const std::string rest(reinterpret_cast<const char*>(data) + 1, size - 1);
--- a/fuzz/report.cpp
+++ b/fuzz/report.cpp
@@ -18,7 +18,7 @@
   void on_demand_report(const DemandReport& demand, const record::Origin&) override {
     if (demand.span <= Nanos{}) std::abort();
   }
-  void reported(ProxyId) override {}
+  void on_report(ProxyId) override {}
 };
 
 }  // namespace
@@ -28,8 +28,8 @@
   Deaf deaf;
   load_reports::LoadReportProcessor intake(config, deaf);
   try {
-    intake.take(std::chrono::seconds(1000),
-                load_reports::parse_metrics({reinterpret_cast<const char*>(data), size}));
+    intake.process(std::chrono::seconds(1000),
+                   load_reports::parse_metrics({reinterpret_cast<const char*>(data), size}));
   } catch (const net::Error&) {
   }
   return 0;
--- a/src/control_plane/control_plane_server.h
+++ b/src/control_plane/control_plane_server.h
@@ -58,7 +58,7 @@
   std::optional<ReplicaId> find_replica(std::string_view name) const override;
   void on_replica_load_report(const ReplicaLoadReport& report, const record::Origin& origin) override;
   void on_demand_report(const DemandReport& report, const record::Origin& origin) override;
-  void reported(ProxyId proxy) override { control_plane_->on_report(proxy); }
+  void on_report(ProxyId proxy) override { control_plane_->on_report(proxy); }
 
   std::unique_ptr<record::Writer> make_record_writer() const;
   std::unique_ptr<ControlPlane> make_control_plane();
--- a/src/control_plane/http_api.cpp
+++ b/src/control_plane/http_api.cpp
@@ -106,7 +106,7 @@
     return json_response(400, json({{"code", kInvalidArgument}, {"message", error.what()}}).dump());
   }
   const Nanos received = std::chrono::system_clock::now().time_since_epoch();
-  const auto counts = targets_.load_reports.take(received, reports);
+  const auto counts = targets_.load_reports.process(received, reports);
   if (counts.unknown > 0) {
     targets_.peer_errors.add("reports about proxies, replicas or classes that nobody knows");
   }
--- a/src/load_reports/load_report_processor.cpp
+++ b/src/load_reports/load_report_processor.cpp
@@ -47,15 +47,15 @@
   return false;
 }
 
-void LoadReportProcessor::take(Nanos received, const load_reports::MetricsReport& report,
-                               ReportCounts& outcome) {
+void LoadReportProcessor::process(Nanos received, const load_reports::MetricsReport& report,
+                                  ReportCounts& outcome) {
   outcome.malformed += report.foreign;
   const auto proxy = proxies_.find(report.proxy);
   if (!proxy) {
     outcome.unknown += report.replicas.size() + report.classes.size();
     return;
   }
-  receiver_.reported(*proxy);
+  receiver_.on_report(*proxy);
   auto& sender = *senders_[static_cast<std::size_t>(*proxy)];
   const std::lock_guard held(sender.lock);
   for (const auto& point : report.replicas) {
@@ -89,10 +89,10 @@
   }
 }
 
-ReportCounts LoadReportProcessor::take(Nanos received,
-                                       const std::vector<load_reports::MetricsReport>& reports) {
+ReportCounts LoadReportProcessor::process(Nanos received,
+                                          const std::vector<load_reports::MetricsReport>& reports) {
   ReportCounts outcome;
-  for (const auto& report : reports) take(received, report, outcome);
+  for (const auto& report : reports) process(received, report, outcome);
   const std::lock_guard held(totals_lock_);
   totals_.taken += outcome.taken;
   totals_.repeated += outcome.repeated;
--- a/src/load_reports/load_report_processor.h
+++ b/src/load_reports/load_report_processor.h
@@ -20,7 +20,7 @@
   virtual std::optional<ReplicaId> find_replica(std::string_view name) const = 0;
   virtual void on_replica_load_report(const ReplicaLoadReport& sum, const record::Origin& origin) = 0;
   virtual void on_demand_report(const DemandReport& demand, const record::Origin& origin) = 0;
-  virtual void reported(ProxyId proxy) = 0;
+  virtual void on_report(ProxyId proxy) = 0;
 };
 
 // What became of the points of a request.
@@ -32,11 +32,11 @@
  public:
   LoadReportProcessor(const config::Config& config, LoadReportListener& receiver);
   // `received` is on our wall clock. From several threads; reports of one proxy go one after the other.
-  ReportCounts take(Nanos received, const std::vector<load_reports::MetricsReport>& reports);
+  ReportCounts process(Nanos received, const std::vector<load_reports::MetricsReport>& reports);
   ReportCounts totals() const;
 
  private:
-  void take(Nanos received, const load_reports::MetricsReport& report, ReportCounts& outcome);
+  void process(Nanos received, const load_reports::MetricsReport& report, ReportCounts& outcome);
   bool counts(SpanVerdict judgement, ReportCounts& outcome) const;
 
   struct Sender {
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -12,7 +12,7 @@
 
 std::string fault_of(const std::string& from, const std::string& to) {
   try {
-    parse_config(test::with(test::small_config_text(), from, to), "file");
+    parse_config(test::replace_first(test::small_config_text(), from, to), "file");
   } catch (const ConfigError& fault) {
     return fault.what();
   }
--- a/tests/program/files_test.cpp
+++ b/tests/program/files_test.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-using test::RegisteredEndpoint;
+using test::TemporaryFolder;
 
 Generation generation(std::uint64_t version, std::vector<std::string> names = {"a", "b"},
                       std::uint64_t epoch = 1) {
@@ -60,7 +60,7 @@
 TEST(GenerationStore, IsWholeAfterADeathAtAnyStep) {
   int steps = 0;
   for (int dies_at = 0;; ++dies_at) {
-    RegisteredEndpoint place;
+    TemporaryFolder place;
     GenerationStore(place.path, 3).take(generation(1));
     GenerationStore(place.path, 3).take(generation(2));
     const pid_t child = ::fork();
@@ -90,7 +90,7 @@
 
 // The same for file systems that fail: an error instead of a death, and the old generation stays.
 TEST(GenerationStore, KeepsWhatItHasWhenTheFileSystemFails) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   GenerationStore(place.path, 3).take(generation(1));
   bool failed = true;
   for (int fails_at = 0; failed; ++fails_at) {
@@ -116,7 +116,7 @@
 }
 
 TEST(GenerationStore, TheLowerEpochLosesAndOldNewsIsRefused) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   GenerationStore folder(place.path, 3);
   EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::swapped);
   EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::same);
@@ -127,7 +127,7 @@
 }
 
 TEST(GenerationStore, OfOneEpochOnlyOneProcessOrders) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   GenerationStore folder(place.path, 3);
   folder.take(generation(5));
   auto other = generation(6);
@@ -143,7 +143,7 @@
 }
 
 TEST(GenerationStore, AWayBackBringsBackNobodyWhoIsOut) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   GenerationStore folder(place.path, 5);
   folder.take(generation(1, {"a", "b"}));
   folder.take(generation(2, {"a", "c"}));
@@ -212,7 +212,7 @@
 // --- The lease
 
 TEST(GenerationShelf, OnlyWhoOrdersKeepsTheLease) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   GenerationShelf shelf(place.path.string(), 3, false);
   auto leased = generation(1);
   leased.lease_ms = 60;
@@ -238,7 +238,7 @@
 // --- The receiver
 
 TEST(Receiver, AnswersByWhatBecameOfAPush) {
-  RegisteredEndpoint place;
+  TemporaryFolder place;
   Receiver receiver({{"127.0.0.1", 0}, place.path.string(), 3, true, 50ms});
   const auto send = [&](const std::string& method, const std::string& target, const std::string& body) {
     return http::fetch(receiver.address(), {method, target, "", "", body, true}, net::Steady::now() + 2s);
--- a/tests/program/history_test.cpp
+++ b/tests/program/history_test.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 
 using test::record_incarnation;
-using test::RegisteredEndpoint;
 using test::replay_as_recorded;
+using test::TemporaryFolder;
 
 // Schema 1 does not say whose lines of a report are, nor how late.
 void clear_fields_of_schema2(kept::Entry& entry) {
@@ -40,7 +40,7 @@
 }
 
 TEST(HistoryReaderTest, ReadsRecordsOfSchema1) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"}, 3);
   std::string text("OSPREC\1\0", 8);
   for (const auto& file : record::list_files({folder.in("a")}))
@@ -57,7 +57,7 @@
 }
 
 TEST(HistoryReaderTest, KnowsReplicasByNameThroughAllIncarnations) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y", "z"});
   record_incarnation(folder.in("a"), 500s, {"z", "x"});
   const auto history = read_history(record::list_files({folder.in("a")}));
--- a/tests/program/load_reports_test.cpp
+++ b/tests/program/load_reports_test.cpp
@@ -63,7 +63,7 @@
   void on_demand_report(const DemandReport& demand, const record::Origin&) override {
     demands.push_back(demand);
   }
-  void reported(ProxyId proxy) override { reporters.push_back(proxy); }
+  void on_report(ProxyId proxy) override { reporters.push_back(proxy); }
   std::vector<ReplicaLoadReport> sums;
   std::vector<record::Origin> origins;
   std::vector<DemandReport> demands;
@@ -81,10 +81,10 @@
   report.classes.push_back({"sign-job", {100s, 101s}, 20, 2});
   report.classes.push_back({"dance", {100s, 101s}, 20, 2});
   const auto parsed = load_reports::parse_metrics(load_reports::write_metrics(report));
-  const auto first = intake.take(101s, parsed);
+  const auto first = intake.process(101s, parsed);
   EXPECT_EQ(first.taken, 2U);
   EXPECT_EQ(first.unknown, 2U);
-  EXPECT_EQ(intake.take(102s, parsed).repeated, 2U);
+  EXPECT_EQ(intake.process(102s, parsed).repeated, 2U);
   ASSERT_EQ(heard.sums.size(), 1U);
   EXPECT_EQ(heard.sums[0].replica, ReplicaId{4});
   EXPECT_EQ(heard.sums[0].zone, ZoneId{1});
@@ -94,7 +94,7 @@
   ASSERT_EQ(heard.demands.size(), 1U);
   EXPECT_EQ(heard.demands[0].operations, 20U);
   report.proxy = "stranger";
-  EXPECT_EQ(intake.take(103s, {report}).unknown, 4U);
+  EXPECT_EQ(intake.process(103s, {report}).unknown, 4U);
   EXPECT_EQ(heard.reporters.size(), 2U);
 }
 
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -23,8 +23,8 @@
 using test::find_blocks;
 using test::FoundBlocks;
 using test::record_incarnation;
-using test::RegisteredEndpoint;
 using test::replay_as_recorded;
+using test::TemporaryFolder;
 
 // A record of one start alone, by a clock that runs years ahead. Returns its file.
 std::string record_start_years_ahead(const std::string& folder) {
@@ -40,7 +40,7 @@
 }
 
 TEST(ListFilesTest, GivesFilesInTheirOrderAndEachOnce) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   record_incarnation(folder.in("a"), 100s, {"y", "x"});
   const auto files = list_files({folder.in("a")});
@@ -59,7 +59,7 @@
 }
 
 TEST(ListFilesTest, KeepsTheOrderOfIncarnationsWhenTheClockWasSetBack) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   fs::create_directories(folder.in("a"));
   const std::string ahead = record_start_years_ahead(folder.in("ahead"));
   fs::copy_file(ahead, fs::path(folder.in("a")) / fs::path(ahead).filename());
@@ -71,7 +71,7 @@
 
 // As a full disk leaves it.
 TEST(VisitRecordTest, CountsAFileWithoutAByteAsCorrupt) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x"});
   const std::ofstream empty_file(folder.in("a") + "/002000000000000-000000.rec");
   const auto result = replay_as_recorded(list_files({folder.in("a")}));
@@ -82,7 +82,7 @@
 
 // A plain message, or the blocks are all there and the corruption is told.
 TEST(BlockReaderTest, RefusesOrCountsAFileHeaderWithAByteFlippedAnywhere) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x"}, 2);
   const std::string whole = read_file(list_files({folder.in("a")}).front());
   const FoundBlocks found = find_blocks(whole);
@@ -103,7 +103,7 @@
 }
 
 TEST(CutTest, KeepsTheBeginningSoThatItReplays) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
   EXPECT_GT(cut(files, {0s, 4500ms}, folder.in("beginning")), 0U);
@@ -115,7 +115,7 @@
 }
 
 TEST(CutTest, KeepsWhoIsThereAndMarksWhatIsMissing) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
   cut(files, {4500ms, Nanos::max()}, folder.in("end"));
@@ -130,7 +130,7 @@
 }
 
 TEST(CutTest, OverwritesNothing) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
   cut(files, {4500ms, Nanos::max()}, folder.in("end"));
@@ -138,7 +138,7 @@
 }
 
 TEST(MergeTest, PutsFoldersIntoOne) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x"});
   record_incarnation(folder.in("b"), 300s, {"x"});
   const auto files = list_files({folder.in("b"), folder.in("a"), folder.in("b")});
@@ -150,7 +150,7 @@
 }
 
 TEST(AnonymiseTest, ReplacesAllNamesAndChangesNoAction) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"east-1", "secret-unit"});
   record_incarnation(folder.in("a"), 300s, {"secret-unit"});
   const auto files = list_files({folder.in("a")});
@@ -168,7 +168,7 @@
 }
 
 TEST(DumpTest, GivesOnlyEntriesOfTheWindow) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"}, 60);
   std::size_t lines = 0;
   Nanos first = Nanos::max();
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -18,7 +18,7 @@
 
 using test::find_blocks;
 using test::FoundBlocks;
-using test::RegisteredEndpoint;
+using test::TemporaryFolder;
 
 constexpr std::size_t kBlocks = 3;
 
@@ -83,7 +83,7 @@
 }
 
 TEST(WriterTest, NeverWaitsForTheDiskAndCountsWhatIsLost) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   std::atomic<bool> stuck = true;
   const std::string entry(8000, 'x');
   constexpr std::uint64_t kAppended = 2000;
@@ -113,7 +113,7 @@
 }
 
 TEST(WriterTest, StoresNoMoreThanItsRetentionPolicyAllows) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   constexpr std::uint64_t kMaxBytes = 400'000;
   std::mt19937 random(7);
   {
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -19,7 +19,7 @@
 
 using record::RecordingController;
 using record::Writer;
-using test::RegisteredEndpoint;
+using test::TemporaryFolder;
 
 constexpr std::uint64_t kSeed = 5;
 
@@ -110,7 +110,7 @@
 }
 
 RC_GTEST_PROP(ReplayTest, LeadsToTheSameActions, ()) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   record_any_events(folder.path.string());
 
   const auto files = record::list_files({folder.path.string()});
@@ -134,7 +134,7 @@
 }
 
 TEST(ReplayTest, NamesTheFirstDifferenceAndSkipsEventsAfterAGap) {
-  const RegisteredEndpoint folder;
+  const TemporaryFolder folder;
   kept::Block altered_start;
   ASSERT_TRUE(altered_start.ParseFromString(recorded_start(folder.in("start"))));
   altered_start.mutable_entries(0)->add_orders()->set_probe(77);
--- a/tests/program/simulation_test.cpp
+++ b/tests/program/simulation_test.cpp
@@ -75,7 +75,7 @@
 
 Deployment deployment(const std::string& from = "", const std::string& to = "") {
   auto text = test::small_config_text();
-  if (!from.empty()) text = test::with(text, from, to);
+  if (!from.empty()) text = test::replace_first(text, from, to);
   return terms::deployment_of(config::parse_config(text, "small"));
 }
 
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -40,17 +40,17 @@
 inline config::Config small_config() { return config::parse_config(small_config_text(), "small"); }
 
 // The text with the first `from` replaced.
-inline std::string with(std::string text, const std::string& from, const std::string& to) {
+inline std::string replace_first(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
 
 // A folder of a test's own, gone with it.
-struct RegisteredEndpoint {
-  RegisteredEndpoint() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     auto pattern = (std::filesystem::temp_directory_path() / "ospreypost-test-XXXXXX").string();
     path = ::mkdtemp(pattern.data());
   }
-  ~RegisteredEndpoint() {
+  ~TemporaryFolder() {
     std::error_code ignored;
     std::filesystem::remove_all(path, ignored);
   }
