--- a/src/control_plane/status.cpp
+++ b/src/control_plane/status.cpp
@@ -17,7 +17,7 @@
 namespace ospreypost::control_plane {
 namespace {
 
-// Members keep their order.
+// Keeps the members of an object in the order in which they were added.
 using json = nlohmann::ordered_json;
 
 void append_table_rows(const std::string& proxy, const routing_state::ProxySnapshot& proxy_snapshot,
@@ -80,7 +80,7 @@
                        {"messages", pull.messages + push.pushes},
                        {"push-failures", push.failures},
                        {"held-back", pull.rate_limited_queries},
-                       {"reports-taken", reports.taken},
+                       {"reports-taken", reports.accepted},
                        {"reports-repeated", reports.repeated},
                        {"reports-too-old", reports.too_old},
                        {"reports-malformed", reports.malformed},
--- a/src/load_reports/report_spans.cpp
+++ b/src/load_reports/report_spans.cpp
@@ -6,59 +6,61 @@
 namespace ospreypost::load_reports {
 namespace {
 
-// So many reports in a row that go on from one another on another clock mean that the sender's was set anew.
-constexpr int kClockSet = 3;
+// Number of consecutive reports on another clock, each continuing the one before, after which the sender's
+// clock counts as reset.
+constexpr int kOutliersUntilClockReset = 3;
 
 }  // namespace
 
-bool ReportSpans::fits_clock(Nanos received, Span span) {
-  const Nanos behind = received - span.end;
-  if (!behind_ || behind < *behind_) {
-    // A clock that jumped ahead makes all that it said before look old; what it counted then is past anyway.
-    behind_ = behind;
-    strangers_ = 0;
+bool ReportSpans::matches_clock(Nanos received, Span span) {
+  const Nanos lag = received - span.end;
+  if (!min_lag_ || lag < *min_lag_) {
+    // The sender's clock may have jumped ahead, which makes all its earlier reports look old.
+    // Reports counted before the jump are in the past anyway.
+    min_lag_ = lag;
+    consecutive_outliers_ = 0;
     return true;
   }
-  if (behind - *behind_ <= oldest_) {
-    strangers_ = 0;
+  if (lag - *min_lag_ <= max_age_) {
+    consecutive_outliers_ = 0;
     return true;
   }
-  const bool goes_on =
-      last_stranger_ && span.start >= last_stranger_->start && span.end > last_stranger_->end;
-  const bool repeats =
-      last_stranger_ && span.start == last_stranger_->start && span.end == last_stranger_->end;
-  if (!repeats) strangers_ = goes_on ? strangers_ + 1 : 1;
-  last_stranger_ = span;
-  if (strangers_ < kClockSet) return false;
-  behind_ = behind;
-  strangers_ = 0;
+  const bool continues_last =
+      last_outlier_ && span.start >= last_outlier_->start && span.end > last_outlier_->end;
+  const bool repeats_last =
+      last_outlier_ && span.start == last_outlier_->start && span.end == last_outlier_->end;
+  if (!repeats_last) consecutive_outliers_ = continues_last ? consecutive_outliers_ + 1 : 1;
+  last_outlier_ = span;
+  if (consecutive_outliers_ < kOutliersUntilClockReset) return false;
+  min_lag_ = lag;
+  consecutive_outliers_ = 0;
   counted_.clear();
   return true;
 }
 
-SpanVerdict ReportSpans::take(Nanos received, const std::string& subject, Span span) {
-  if (span.end <= span.start || span.end - span.start > oldest_) return SpanVerdict::malformed;
-  if (!fits_clock(received, span)) return SpanVerdict::too_old;
+SpanVerdict ReportSpans::add(Nanos received, const std::string& subject, Span span) {
+  if (span.end <= span.start || span.end - span.start > max_age_) return SpanVerdict::malformed;
+  if (!matches_clock(received, span)) return SpanVerdict::too_old;
   auto& counted = counted_[subject];
-  // What is older than may still come needs no remembering.
-  const Nanos horizon = received - *behind_ - 2 * oldest_;
+  // Spans before the horizon are forgotten, because no accepted span can overlap them any more.
+  const Nanos horizon = received - *min_lag_ - 2 * max_age_;
   while (!counted.empty() && counted.begin()->second < horizon) counted.erase(counted.begin());
 
-  const auto after = counted.lower_bound(span.start);
-  const bool meets_after = after != counted.end() && after->first < span.end;
-  const bool meets_before = after != counted.begin() && std::prev(after)->second > span.start;
-  if (meets_after || meets_before) return SpanVerdict::repeated;
-  // Spans that go on from one another become one.
-  auto [at, fresh] = counted.emplace(span.start, span.end);
-  if (at != counted.begin() && std::prev(at)->second == span.start) {
-    std::prev(at)->second = span.end;
-    at = std::prev(counted.erase(at));
+  const auto following = counted.lower_bound(span.start);
+  const bool overlaps_next = following != counted.end() && following->first < span.end;
+  const bool overlaps_previous = following != counted.begin() && std::prev(following)->second > span.start;
+  if (overlaps_next || overlaps_previous) return SpanVerdict::repeated;
+  // Adjacent spans are merged into one span.
+  auto [merged, inserted] = counted.emplace(span.start, span.end);
+  if (merged != counted.begin() && std::prev(merged)->second == span.start) {
+    std::prev(merged)->second = span.end;
+    merged = std::prev(counted.erase(merged));
   }
-  if (const auto next = std::next(at); next != counted.end() && next->first == at->second) {
-    at->second = next->second;
+  if (const auto next = std::next(merged); next != counted.end() && next->first == merged->second) {
+    merged->second = next->second;
     counted.erase(next);
   }
-  return SpanVerdict::counts;
+  return SpanVerdict::accepted;
 }
 
 }  // namespace ospreypost::load_reports
--- a/tests/program/status_test.cpp
+++ b/tests/program/status_test.cpp
@@ -1,4 +1,4 @@
-// The JSON documents that show a control plane's state.
+// Tests the JSON documents that show the state of a control plane, and the parsing of load values.
 #include "control_plane/status.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,8 @@
 
 using routing_state::SnapshotVersion;
 
-// Two replicas, of which one is draining; the first proxy has a table for its first class.
+// Returns a status with two replicas, the second of them draining; the first proxy has a table for its first
+// request class.
 ControlPlaneStatus small_status() {
   auto directory = std::make_shared<delivery::EndpointDirectory>();
   directory->endpoints.resize(2);
@@ -64,7 +65,7 @@
             R"({"proxy":"forwarder-3","zone":"west","joined":false,"version":0}])");
 }
 
-TEST(StatusTest, SumsUpWhatWaitsForProxiesThatPullAndThatArePushedTo) {
+TEST(StatusTest, AddsUpTheCountsOfPullAndPush) {
   auto status = small_status();
   status.pull_counts.queued_entries = 1;
   status.push_counts.queued_entries = 2;
@@ -75,7 +76,7 @@
   status.push_counts.failures = 7;
   status.pull_counts.rate_limited_queries = 8;
   load_reports::ReportCounts reports;
-  reports.taken = 11;
+  reports.accepted = 11;
   reports.repeated = 12;
   reports.too_old = 13;
   reports.malformed = 14;
@@ -87,7 +88,7 @@
       R"("reports-unknown":15}])");
 }
 
-TEST(StatusTest, KnowsNoOtherTarget) {
+TEST(StatusTest, ReturnsNothingForOtherTargets) {
   EXPECT_FALSE(render_status("/", test::small_config(), small_status(), {}));
   EXPECT_FALSE(render_status("/tables/", test::small_config(), small_status(), {}));
 }
@@ -97,7 +98,7 @@
   EXPECT_EQ(parse_load(R"({"util":0.5,"queue":3,"other":"x"})", columns), (std::vector<float>{3, 0.5F}));
 }
 
-TEST(ParseLoadTest, ReadsNothingWhereAColumnIsMissingOrNoNumber) {
+TEST(ParseLoadTest, ReturnsNothingIfAColumnIsMissingOrNotANumber) {
   const std::vector<LoadMetric> columns{LoadMetric::util};
   EXPECT_TRUE(parse_load(R"({"queue":3})", columns).empty());
   EXPECT_TRUE(parse_load(R"({"util":"0.5"})", columns).empty());
