--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -112,22 +112,22 @@
   });
 }
 
-// --- Which proxies have joined
+// --- Membership of the proxies
 
 bool ControlPlane::is_joined(ProxyId proxy) const {
   return entry_of(proxy).is_pushed_to() ? push_proxies_.is_joined(proxy) : pull_proxies_.is_joined(proxy);
 }
 
-// Notifies the controller if a proxy has joined or left. Another thread may have changed that again or made
-// the call already, so what counts is the state that is found under the lock.
+// Notifies the controller if a proxy has joined or left. Another thread may meanwhile have changed the
+// proxy's membership or notified the controller, so the membership is read again under the lock of `driver_`.
 void ControlPlane::update_membership(ProxyId proxy) {
   driver_.call([&](RecordingController& controller, RoutingState& routing_state, Nanos now) {
     const bool joined = is_joined(proxy);
     const auto& entry = entry_of(proxy);
     if (joined == announced_proxies_.contains(proxy)) {
       if (!joined || !entry.is_pushed_to()) return;
-      // It was lost and joined again before the controller was notified: what is in force is still to be
-      // sent.
+      // The proxy was lost and joined again before the controller was notified: the published tables must be
+      // pushed to the proxy again.
       auto proxy_snapshot = published_.snapshot()->snapshot_of(proxy);
       if (proxy_snapshot) push_proxies_.resend(now, proxy, std::move(proxy_snapshot));
       return;
@@ -147,7 +147,8 @@
   });
 }
 
-// For proxies that fell silent, and pushes that none confirms.
+// Updates the membership of proxies that pull and sent neither a query nor a report in time, and of proxies
+// that did not confirm pushes in time.
 void ControlPlane::check_membership() {
   const auto now = driver_.now();
   auto left = pull_proxies_.take_silent(now);
@@ -182,7 +183,8 @@
   return answer;
 }
 
-// The proxies that take requests of others, those of the preferred zone first.
+// Returns the joined proxies that accept requests of other clients, the proxies of `preferred_zone` first.
+// `excluded` is left out.
 std::vector<delivery::FallbackProxy> ControlPlane::fallback_proxies(std::optional<ZoneId> preferred_zone,
                                                                     std::optional<ProxyId> excluded) const {
   std::vector<delivery::FallbackProxy> proxies;
@@ -197,7 +199,7 @@
   return proxies;
 }
 
-// --- Proxies that are pushed to
+// --- Proxies that tables are pushed to
 
 void ControlPlane::on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion version) {
   push_proxies_.on_push_confirmed(proxy, version);
@@ -219,7 +221,7 @@
   push_proxies_.on_rollback(proxy, rolled_back_to);
 }
 
-// --- What is in force
+// --- Published state
 
 std::shared_ptr<const delivery::EndpointDirectory> ControlPlane::directory() const {
   return published_.directory();
@@ -247,7 +249,7 @@
   return status;
 }
 
-// --- The controller's actions, under the driver's lock
+// --- Actions of the controller, called with the lock of `driver_` held
 
 void ControlPlane::on_published(Nanos now, const std::optional<RoutingState::Publication>& publication,
                                 const std::vector<RequestAcknowledgement>& requests) {
--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -1,5 +1,5 @@
-/// The control plane without its sockets: the controller behind its lock, and the services by which proxies
-/// get what it decides.
+/// The control plane without its sockets: it runs the controller and serves the controller's decisions to the
+/// proxies.
 #pragma once
 
 #include <functional>
@@ -38,29 +38,32 @@
 
 namespace ospreypost::control_plane {
 
-/// Assembles the parts: calls go to the controller, its actions into the routing state, and each snapshot of
-/// that to the proxies. Thread-safe.
+/// Passes observations to the controller, applies the controller's actions to the routing state, and delivers
+/// each snapshot of the routing state to the proxies. Thread-safe.
 ///
-/// Lock order: the lock of `ControllerDriver`, which is held during each call on the controller and so during
-/// its actions; then the lock of `PushProxies` or one of those of `PullProxies`, of which no two are held at
-/// a time; then that of `PublishedState`. The host is called with the first or the second of them held.
+/// Lock order: first the lock of `ControllerDriver`, which is held during each call on the controller and so
+/// during the controller's actions; then the lock of `PushProxies` or one of the two locks of `PullProxies`,
+/// never two of these three at a time; last the lock of `PublishedState`.
+/// The functions of `ControlPlaneHost` are called with the first or the second lock held.
 class ControlPlane : public delivery::PullService, public delivery::PushService, private ControllerFrontend {
  public:
-  /// Serves from then on. `config`, `host` and `record_writer` must outlive it; without a writer nothing is
-  /// recorded. Throws `net::Error` if no thread can be had.
+  /// Creates the controller and starts the thread that runs its timers. `config`, `host` and `record_writer`
+  /// must outlive the control plane; without a record writer nothing is recorded.
+  /// Throws `net::Error` if the thread cannot be started.
   ControlPlane(const config::Config& config, ControlPlaneHost& host, ControllerDriver::Clock clock,
                routing_state::LeaseTable leases = {1, "governor"}, record::Writer* record_writer = nullptr);
   ~ControlPlane() override;
-  /// Joins its thread; calls go on being taken.
+  /// Joins the timer thread. All other functions may still be called afterwards.
   void stop() { driver_.stop(); }
 
-  /// What changed in the endpoint list, which has one source. Zones and hardware kinds must be known to the
-  /// configuration.
+  /// Passes a change of the endpoint list to the controller; the endpoint list has a single source.
+  /// The configuration must list every zone and hardware kind that `changes` contains.
   void on_endpoint_list_changed(const discovery::EndpointList::Changes& changes);
-  /// Reports whose spans count.
+  /// Pass a load report of a replica or a demand report of a proxy to the controller.
+  /// The caller has already dropped reports that are repeated, malformed or too old.
   void on_replica_load_report(const ReplicaLoadReport& report, const record::Origin& origin);
   void on_demand_report(const DemandReport& report, const record::Origin& origin);
-  /// A report of a proxy came, whatever was in it.
+  /// Notes that a report of `proxy` arrived, whether or not its contents were accepted.
   void on_report(ProxyId proxy) { pull_proxies_.on_report(proxy); }
   void on_health_check_result(const HealthCheckResult& result);
 
@@ -76,12 +79,13 @@
   void on_push_rejected(ProxyId proxy, const routing_state::RemoteState& remote) override;
   void on_remote_state(ProxyId proxy, const routing_state::RemoteState& remote) override;
   void on_rollback(ProxyId proxy, const std::vector<std::string>& rolled_back_to) override;
-  /// Notified of pushes from then on; null: nobody. It must outlive that.
+  /// Sets the listener that is notified when a push becomes available; null removes the listener.
+  /// The listener must outlive its registration.
   void set_push_listener(delivery::PushListener* listener) { push_proxies_.set_listener(listener); }
 
-  /// Empty if no endpoint list named it.
+  /// Returns the id of the replica; empty if no endpoint list has contained `name`.
   std::optional<ReplicaId> find_replica(std::string_view name) const;
-  /// The names of the replicas that no proxy may send to: those that are ejected, draining or gone.
+  /// Names of the replicas that no proxy may send requests to because they are ejected, draining or gone.
   std::vector<std::string> unroutable_replicas() const { return published_.unroutable_replicas(); }
   ControlPlaneStatus status() const;
 
@@ -90,10 +94,10 @@
                     const std::vector<RequestAcknowledgement>& requests) override;
   void on_ejection_changed(ReplicaId replica, bool ejected) override;
   void request_health_check(ReplicaId replica) override;
-  // The list is watched all the time.
+  // Does nothing: the endpoint list is always watched.
   void watch_endpoint_list(bool /*enabled*/) override {}
   void refresh_endpoint_list() override { host_.refresh_endpoint_list(); }
-  // It has no peers.
+  // Does nothing: this control plane has no peers.
   void send_to_peer(std::optional<PeerId> /*peer*/, std::string_view /*message*/) override {}
   void log(std::string_view line) override;
 
@@ -114,9 +118,9 @@
 
   // Guarded by the lock of `driver_`.
   EndpointDirectoryKeeper endpoints_;
-  std::set<ProxyId> announced_proxies_;  // whose joining the controller was notified of
+  std::set<ProxyId> announced_proxies_;  // proxies that the controller has been notified of as joined
 
-  // The last one: the controller acts on all of the above from its first moment.
+  // Declared last, because the controller calls into all other members as soon as it is constructed.
   ControllerDriver driver_;
 };
 
--- a/src/control_plane/control_plane_server.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -65,7 +65,7 @@
       config_, static_cast<discovery::EndpointSourceListener&>(*this), steady_now);
 }
 
-// Whoever calls in ends before what it calls.
+// Stops each component before the components that it calls.
 void ControlPlaneServer::stop() {
   if (stopped_.exchange(true)) return;
   endpoint_source_->stop();
@@ -78,7 +78,7 @@
   if (record_writer_) record_writer_->stop();
 }
 
-// --- Parts
+// --- Construction of the components
 
 std::unique_ptr<record::Writer> ControlPlaneServer::make_record_writer() const {
   if (!config_.record.keep) return nullptr;
@@ -87,7 +87,9 @@
 }
 
 std::unique_ptr<ControlPlane> ControlPlaneServer::make_control_plane() {
-  // No other process has this name and start. If the clock was set back, claims go above what they meet.
+  // The start time in the owner's name makes the name unique among all processes. The first epoch is the
+  // start time in seconds; after the clock was set back, a claim uses an epoch above the epoch that the proxy
+  // reports.
   const auto start = static_cast<std::uint64_t>(unix_now() / 1s);
   const routing_state::LeaseTable leases(start, config_.name + "." + std::to_string(unix_now().count()));
   return std::make_unique<ControlPlane>(config_, static_cast<ControlPlaneHost&>(*this), steady_now, leases,
@@ -109,7 +111,7 @@
                                         on_error);
 }
 
-// --- What the control plane requests, under its locks, also before all parts are there
+// --- Requests of the control plane, made with its locks held and possibly before all components exist
 
 void ControlPlaneServer::request_health_check(ReplicaId replica, const net::Address& address) {
   if (health_checker_) health_checker_->request(replica, address);
@@ -132,8 +134,8 @@
   control_plane_->on_endpoint_list_changed(changes);
 }
 
-// That no list can be read does not mean that no endpoint is left: the last good list stays in force, and the
-// controller, which could do nothing about it, is not notified.
+// An unreadable endpoint list does not mean that no endpoint is left: the last good list stays in use.
+// The controller is not notified, because it could do nothing about the error.
 void ControlPlaneServer::on_endpoint_list_unreadable(const std::string& why) {
   log_->warn("endpoint_list_unavailable error={}", why);
 }
--- a/src/control_plane/control_plane_server.h
+++ b/src/control_plane/control_plane_server.h
@@ -1,5 +1,5 @@
-/// A control plane instance in service: the endpoint list's source, load reports, DNS, HTTP and pushes around
-/// the control plane.
+/// A running control plane instance: the control plane together with its endpoint list source, load report
+/// processing, DNS server, HTTP server and file pusher.
 #pragma once
 
 #include <atomic>
@@ -34,17 +34,17 @@
 
 namespace ospreypost::control_plane {
 
-/// Starts and stops the parts, and passes calls between them.
+/// Creates, starts and stops the components of a control plane instance, and passes calls between them.
 class ControlPlaneServer : private ControlPlaneHost,
                            private discovery::EndpointSourceListener,
                            private load_reports::LoadReportListener {
  public:
-  /// Throws `net::Error` if an address cannot be had. Serves from then on.
+  /// Starts all components. Throws `net::Error` if an address cannot be bound.
   ControlPlaneServer(config::Config config, std::shared_ptr<spdlog::logger> log);
   ~ControlPlaneServer() override { stop(); }
   net::Address dns_address() const { return dns_server_->address(); }
   net::Address http_address() const { return http_server_->address(); }
-  /// Ends all connections and joins all threads, within a second.
+  /// Closes all connections and joins all threads, within a second.
   void stop();
 
  private:
@@ -71,8 +71,8 @@
   RateLimitedLogger peer_errors_;
   std::atomic<bool> stopped_ = false;
 
-  // In the order in which they start.
-  std::unique_ptr<record::Writer> record_writer_;  // null: nothing is recorded
+  // The components, in the order in which they are started.
+  std::unique_ptr<record::Writer> record_writer_;  // null if nothing is recorded
   std::unique_ptr<ControlPlane> control_plane_;
   std::unique_ptr<load_reports::LoadReportProcessor> load_reports_;
   std::unique_ptr<dns::Responder> dns_responder_;
--- a/src/control_plane/controller_driver.cpp
+++ b/src/control_plane/controller_driver.cpp
@@ -24,7 +24,7 @@
 ControllerDriver::ControllerDriver(const Options& options, Clock clock, ControllerFrontend& frontend)
     : clock_(std::move(clock)),
       frontend_(frontend),
-      gather_time_(options.gather_time),
+      batch_interval_(options.batch_interval),
       routing_state_(options.settings.classes.size()) {
   const std::lock_guard lock(mutex_);
   controller_ = std::make_unique<record::RecordingController>(options.settings, options.seed, clock_(),
@@ -33,7 +33,7 @@
 }
 
 void ControllerDriver::start(std::function<void()> maintenance, Nanos interval) {
-  timer_thread_ = net::Thread("timekeeper", [this, maintenance = std::move(maintenance), interval] {
+  timer_thread_ = net::Thread("timers", [this, maintenance = std::move(maintenance), interval] {
     run_timers(maintenance, interval);
   });
 }
@@ -47,19 +47,19 @@
   timer_thread_.join();
 }
 
-// --- With the lock held
+// --- Publication, called with the lock held
 
 bool ControllerDriver::has_unpublished_changes() const {
   return routing_state_.has_changes() || ejections_changed_ || !acknowledgement_requests_.empty();
 }
 
 void ControllerDriver::on_called(Nanos now) {
-  if (gather_time_ <= Nanos{}) {
+  if (batch_interval_ <= Nanos{}) {
     publish(now);
     return;
   }
   if (publish_at_ || !has_unpublished_changes()) return;
-  publish_at_ = now + gather_time_;
+  publish_at_ = now + batch_interval_;
   wake_up_.notify_all();
 }
 
@@ -71,7 +71,7 @@
   acknowledgement_requests_.clear();
 }
 
-// --- The thread of the timers
+// --- Timer thread
 
 void ControllerDriver::run_timers(const std::function<void()>& maintenance, Nanos interval) {
   std::unique_lock lock(mutex_);
@@ -101,7 +101,7 @@
   wake_up_.wait_for(lock, std::max(next - now, kMinTimerWait));
 }
 
-// --- The controller's actions, with the lock held
+// --- Actions of the controller, called with the lock held
 
 void ControllerDriver::handle(const SetTableEntry& action) {
   routing_state_.set_table_entry(action.table, action.replica, action.weight);
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -1,5 +1,5 @@
-/// Runs the controller: calls on it one at a time, its timers, and one snapshot of its routing state after
-/// each call, or after all calls of a short while.
+/// Runs the controller: makes the calls on it one at a time, runs its timers, and publishes one snapshot of
+/// its routing state after each call or, if a batch interval is set, after each batch of calls.
 #pragma once
 
 #include <condition_variable>
@@ -27,13 +27,15 @@
 
 namespace ospreypost::control_plane {
 
-/// Carries out those of the controller's actions that leave the process. Called with the driver's lock held:
-/// it may take note and wake others, but must not wait or call the driver.
+/// Receives the published snapshots and carries out the controller's actions that have an effect outside
+/// `ControllerDriver`. The functions are called with the driver's lock held: an implementation may queue work
+/// and notify other threads, but must not block or call the driver.
 class ControllerFrontend {
  public:
   virtual ~ControllerFrontend() = default;
-  /// After calls that acted on the routing state. `published` is empty if nothing changed that any proxy may
-  /// use; `requests` go with the newest snapshot.
+  /// Called after each call on the controller or, if a batch interval is set, after a batch of calls that
+  /// changed something. `published` is empty if nothing changed that a proxy may use.
+  /// `requests` are the acknowledgement requests made for the newest snapshot.
   virtual void on_published(Nanos now,
                             const std::optional<routing_state::RoutingState::Publication>& published,
                             const std::vector<RequestAcknowledgement>& requests) = 0;
@@ -41,38 +43,40 @@
   virtual void request_health_check(ReplicaId replica) = 0;
   virtual void watch_endpoint_list(bool enabled) = 0;
   virtual void refresh_endpoint_list() = 0;
-  /// To all peers if no peer is given.
+  /// Sends `message` to `peer`, or to all peers if `peer` is empty.
   virtual void send_to_peer(std::optional<PeerId> peer, std::string_view message) = 0;
   virtual void log(std::string_view line) = 0;
 };
 
-/// Owns the controller, its routing state and its timers, behind one lock. Thread-safe.
+/// Owns the controller, its routing state and its timers, and guards them with one lock. Thread-safe.
 class ControllerDriver : private ActionHandler {
  public:
-  /// A monotonic clock that starts anywhere.
+  /// Monotonic clock with an arbitrary start.
   using Clock = std::function<Nanos()>;
 
   struct Options {
     Settings settings;
     std::uint64_t seed = 0;
-    /// Changes are gathered for this long before they are published together; 0: each call by itself.
-    Nanos gather_time{};
-    record::Writer* record_writer = nullptr;  ///< outlives the driver; null: nothing is recorded
-    std::string configuration;                ///< its text, as the record keeps it
+    /// Time for which changes are collected before they are published together; 0 publishes after each call.
+    Nanos batch_interval{};
+    record::Writer* record_writer = nullptr;  ///< must outlive the driver; null if nothing is recorded
+    std::string configuration;                ///< text of the configuration that is written to the record
   };
 
-  /// Starts the controller, which may act on the frontend from then on. `frontend` must outlive the driver.
+  /// Creates the controller, which may call `frontend` from then on, also before the constructor returns.
+  /// `frontend` must outlive the driver.
   ControllerDriver(const Options& options, Clock clock, ControllerFrontend& frontend);
   ~ControllerDriver() override { stop(); }
 
-  /// Starts the thread that runs the controller's timers. It also calls `maintenance` after each interval,
-  /// without the lock. Throws `net::Error` if no thread can be had.
+  /// Starts the thread that runs the controller's timers.
+  /// The same thread calls `maintenance` after each `interval`, without holding the lock.
+  /// Throws `net::Error` if the thread cannot be started.
   void start(std::function<void()> maintenance, Nanos interval);
-  /// Joins the thread.
+  /// Stops and joins the timer thread.
   void stop();
 
-  /// Takes the lock and makes a call on the controller: `run` is called with a `RecordingController&`, the
-  /// `RoutingState&` and the time.
+  /// Takes the lock, calls `run` with a `RecordingController&`, the `RoutingState&` and the current time, and
+  /// then publishes the resulting changes or schedules their publication.
   template <typename Call>
   void call(Call run) {
     const std::lock_guard lock(mutex_);
@@ -80,13 +84,14 @@
     run(*controller_, routing_state_, now);
     on_called(now);
   }
-  /// Takes the lock, so that `read` sees what the frontend's functions change, between two calls.
+  /// Calls `read` with the lock held, so that no call on the controller changes the frontend's state during
+  /// `read`.
   template <typename Read>
   void inspect(Read read) const {
     const std::lock_guard lock(mutex_);
     read();
   }
-  /// The time now, by the clock of the constructor; takes no lock.
+  /// Returns the current time of the driver's clock; takes no lock.
   Nanos now() const { return clock_(); }
 
  private:
@@ -111,19 +116,19 @@
 
   const Clock clock_;
   ControllerFrontend& frontend_;
-  const Nanos gather_time_;
+  const Nanos batch_interval_;
 
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`, under which no I/O happens.
+  // Guarded by `mutex_`. No I/O happens while `mutex_` is held.
   routing_state::RoutingState routing_state_;
   TimerQueue timers_;
-  std::vector<RequestAcknowledgement> acknowledgement_requests_;  // since the last snapshot
-  bool ejections_changed_ = false;                                // since the last snapshot
-  std::optional<Nanos> publish_at_;
+  std::vector<RequestAcknowledgement> acknowledgement_requests_;  // made since the last snapshot
+  bool ejections_changed_ = false;   // whether an ejection changed since the last snapshot
+  std::optional<Nanos> publish_at_;  // time at which the current batch is published; empty without a batch
   std::unique_ptr<record::RecordingController> controller_;
   bool stopping_ = false;
 
-  std::condition_variable wake_up_;  // waited for with `mutex_`
+  std::condition_variable wake_up_;  // used together with `mutex_`
   net::Thread timer_thread_;
 };
 
--- a/src/control_plane/endpoint_directory_keeper.h
+++ b/src/control_plane/endpoint_directory_keeper.h
@@ -1,5 +1,5 @@
-/// The replicas as the endpoint list gives them: their ids, their phases, and the directory in which serving
-/// threads look them up.
+/// Tracks the replicas that the endpoint list contains: their ids, their phases, and the directory in which
+/// serving threads look replicas up.
 #pragma once
 
 #include <cstdint>
@@ -18,38 +18,39 @@
 
 namespace ospreypost::control_plane {
 
-/// Stands for replicas whose name no endpoint list gave.
+/// Placeholder id for replicas whose name no endpoint list has contained.
 inline constexpr ReplicaId kUnknownReplica{~std::uint32_t{0}};
 
-/// Turns names into ids, and publishes the directory. Not thread-safe: guarded by the lock of
-/// `ControllerDriver`.
+/// Assigns ids to endpoint names and publishes the endpoint directory.
+/// Not thread-safe: guarded by the lock of `ControllerDriver`.
 class EndpointDirectoryKeeper {
  public:
-  /// Both must outlive it.
+  /// `config` and `published` must outlive this object.
   EndpointDirectoryKeeper(const config::Config& config, PublishedState& published)
       : config_(config), published_(published) {}
 
-  /// What the controller receives for a change of the endpoint list.
+  /// The data that the controller is notified of after a change of the endpoint list.
   struct AppliedChanges {
-    std::vector<ReplicaId> added;  ///< ids that were given with this change, by ascending id
+    std::vector<ReplicaId> added;  ///< replicas that were assigned an id by this change, in ascending order
     std::vector<EndpointUpdate> updates;
   };
-  /// Takes over a change of the list. Zones and hardware kinds must be known to the configuration.
+  /// Applies a change of the endpoint list to the ids, the phases and the directory.
+  /// The configuration must list every zone and hardware kind that `changes` contains.
   AppliedChanges apply(const discovery::EndpointList::Changes& changes);
 
   void set_ejected(ReplicaId replica, bool ejected);
 
-  /// The replicas that no proxy may send to: those that are ejected, draining or gone.
+  /// The replicas that no proxy may send requests to because they are ejected, draining or gone.
   struct UnroutableReplicas {
-    std::set<ReplicaId> ids;  ///< with `kUnknownReplica`
+    std::set<ReplicaId> ids;  ///< always includes `kUnknownReplica`
     std::vector<std::string> names;
   };
-  /// Empty if no endpoint and no ejection changed since the last call.
+  /// Returns the unroutable replicas; empty if no endpoint and no ejection changed since the last call.
   std::optional<UnroutableReplicas> take_unroutable_if_changed();
 
-  /// By replica.
+  /// Returns the phase of each replica, indexed by replica id.
   const std::vector<EndpointPhase>& phases() const { return phases_; }
-  /// Empty for an id that was never given.
+  /// Returns the name of a replica; empty for an id that was never assigned.
   std::string_view name_of(ReplicaId replica) const;
 
  private:
@@ -60,7 +61,7 @@
   PublishedState& published_;
   discovery::NameTable<ReplicaId> replicas_;
   discovery::NameTable<CellId> cells_;
-  std::vector<EndpointPhase> phases_;  // by replica
+  std::vector<EndpointPhase> phases_;  // indexed by replica id
   std::set<ReplicaId> ejected_;
   bool unroutable_changed_ = false;
 };
--- a/src/control_plane/health_check.cpp
+++ b/src/control_plane/health_check.cpp
@@ -29,7 +29,7 @@
       if (load) result.load = std::move(*load);
     }
   } catch (const std::exception&) {
-    // Whatever kept the answer from coming, there is none.
+    // Any error on the way means that the replica gave no response; the result already shows that.
   }
   result.took = net::Steady::now() - started;
   return result;
--- a/src/control_plane/health_check.h
+++ b/src/control_plane/health_check.h
@@ -1,4 +1,4 @@
-/// One health check of a replica over HTTP.
+/// A single health check of a replica over HTTP.
 #pragma once
 
 #include <functional>
@@ -21,11 +21,11 @@
   net::Steady::duration timeout{};
 };
 
-/// Reads the load values of an answer's body; empty if the answer cannot be used.
+/// Parses the load values in a response body; returns empty if the body cannot be used.
 using LoadParser = std::function<std::optional<std::vector<float>>(std::string_view body)>;
 
-/// Carries out the check; that no answer comes is a result like any other. `cancellation` may be null; else
-/// it ends the check when it is set.
+/// Runs a health check. A missing or unusable response is reported in the result instead of thrown.
+/// If `cancellation` is not null, setting `cancellation` aborts the check.
 HealthCheckResult run_health_check(const HealthCheckRequest& check, const LoadParser& parse_load,
                                    const net::CancellationEvent* cancellation);
 
--- a/src/control_plane/health_checker.cpp
+++ b/src/control_plane/health_checker.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr std::size_t kMaxConcurrentChecks = 4;
-constexpr std::size_t kMaxWaitingChecks = 1000;
+constexpr std::size_t kMaxQueuedChecks = 1000;
 
 }  // namespace
 
 HealthChecker::HealthChecker(const config::Config& config, ResultHandler on_result)
     : config_(config),
       on_result_(std::move(on_result)),
-      threads_("prober", kMaxConcurrentChecks, kMaxWaitingChecks) {}
+      threads_("health-check", kMaxConcurrentChecks, kMaxQueuedChecks) {}
 
 void HealthChecker::request(ReplicaId replica, const net::Address& address) {
   threads_.take([this, replica, address] { on_result_(check(replica, address)); });
--- a/src/control_plane/health_checker.h
+++ b/src/control_plane/health_checker.h
@@ -1,4 +1,4 @@
-/// Health checks of replicas over HTTP.
+/// Runs health checks of replicas over HTTP on a thread pool.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,17 @@
 
 namespace ospreypost::control_plane {
 
-/// Runs the health checks that the controller requests, a few at a time. Thread-safe.
+/// Runs the health checks that the controller requests, a limited number at a time. Thread-safe.
 class HealthChecker {
  public:
-  /// Called from the threads of the checker.
+  /// Receives the result of each check; called from the threads of the health checker.
   using ResultHandler = std::function<void(const HealthCheckResult&)>;
 
-  /// `config` must outlive it. Throws `net::Error` if not all threads can be had.
+  /// `config` must outlive the health checker. Throws `net::Error` if a thread cannot be started.
   HealthChecker(const config::Config& config, ResultHandler on_result);
-  /// Checks a replica soon. Dropped if too many checks wait.
+  /// Queues a health check of `replica`. The request is dropped if too many checks are queued.
   void request(ReplicaId replica, const net::Address& address);
-  /// Drops what waits, and returns once the checks under way are over.
+  /// Drops the queued checks and returns once the running checks have finished.
   void stop() { threads_.stop(); }
 
  private:
--- a/src/control_plane/http_api.cpp
+++ b/src/control_plane/http_api.cpp
@@ -31,7 +31,7 @@
 constexpr std::string_view kGenerationsPrefix = "/generations/";
 constexpr std::string_view kRollbackPrefix = "/rollback/";
 
-// Of google.rpc.Code, as OTLP requires it.
+// Code INVALID_ARGUMENT of google.rpc.Code, which OTLP requires in the response to an invalid request.
 constexpr int kInvalidArgument = 3;
 
 http::Response text_response(unsigned status, std::string body) {
@@ -43,10 +43,11 @@
 }
 
 http::Response unknown_proxy(const std::string& name) {
-  return text_response(404, "there is no proxy '" + name + "'\n");
+  return text_response(404, "unknown proxy '" + name + "'\n");
 }
 
-// The response that OTLP requires where some points were rejected.
+// Returns the response body that OTLP requires; it has a partialSuccess object if some data points were
+// rejected.
 std::string partial_success(const load_reports::ReportCounts& counts) {
   const auto rejected = counts.repeated + counts.too_old + counts.malformed + counts.unknown;
   json body = json::object();
@@ -84,10 +85,10 @@
     return roll_back(target.substr(kRollbackPrefix.size()));
   }
   if (target == kMetricsTarget) {
-    if (request.method != "POST") return text_response(405, "POST reports here\n");
+    if (request.method != "POST") return text_response(405, "method not allowed: expected POST\n");
     return receive_metrics(request);
   }
-  if (request.method != "GET") return text_response(405, "only GET here\n");
+  if (request.method != "GET") return text_response(405, "method not allowed: expected GET\n");
   if (target.starts_with(kGenerationsPrefix)) {
     return show_generations(target.substr(kGenerationsPrefix.size()));
   }
@@ -96,9 +97,9 @@
 
 http::Response HttpApi::receive_metrics(const http::Request& request) {
   if (!request.content_type.starts_with("application/json"))
-    return text_response(415, "only application/json is taken\n");
+    return text_response(415, "unsupported content type: expected application/json\n");
   if (!request.content_encoding.empty() && request.content_encoding != "identity")
-    return text_response(415, "no content encoding is taken\n");
+    return text_response(415, "unsupported content encoding: expected none or identity\n");
   std::vector<load_reports::MetricsReport> reports;
   try {
     reports = load_reports::parse_metrics(request.body);
@@ -108,7 +109,7 @@
   const Nanos received = std::chrono::system_clock::now().time_since_epoch();
   const auto counts = targets_.load_reports.process(received, reports);
   if (counts.unknown > 0) {
-    targets_.peer_errors.add("reports about proxies, replicas or classes that nobody knows");
+    targets_.peer_errors.add("load report with an unknown proxy, replica or request class");
   }
   return json_response(200, partial_success(counts));
 }
@@ -117,7 +118,7 @@
   const auto proxy = config::find_proxy(targets_.config, proxy_name);
   if (!proxy) return unknown_proxy(proxy_name);
   auto* const pusher = pusher_.load();
-  if (pusher == nullptr) return text_response(503, "not started yet\n");
+  if (pusher == nullptr) return text_response(503, "the control plane is still starting\n");
   try {
     return json_response(200, files::write_state(pusher->look(*proxy)));
   } catch (const net::Error& error) {
@@ -127,11 +128,11 @@
 
 http::Response HttpApi::roll_back(const std::string& proxy_and_query) {
   const auto request = parse_rollback(proxy_and_query);
-  if (!request) return text_response(400, "ask for /rollback/PROXY?version=N\n");
+  if (!request) return text_response(400, "expected /rollback/PROXY?version=N\n");
   const auto proxy = config::find_proxy(targets_.config, request->proxy_name);
   if (!proxy) return unknown_proxy(request->proxy_name);
   auto* const pusher = pusher_.load();
-  if (pusher == nullptr) return text_response(503, "not started yet\n");
+  if (pusher == nullptr) return text_response(503, "the control plane is still starting\n");
   try {
     const auto unroutable = targets_.control_plane.unroutable_replicas();
     const auto state = pusher->roll_back(*proxy, request->version, unroutable);
@@ -145,7 +146,7 @@
 http::Response HttpApi::show_status(const std::string& target) {
   auto body =
       render_status(target, targets_.config, targets_.control_plane.status(), targets_.load_reports.totals());
-  if (!body) return text_response(404, "nothing of that name\n");
+  if (!body) return text_response(404, "unknown path\n");
   return json_response(200, std::move(*body));
 }
 
--- a/src/control_plane/http_api.h
+++ b/src/control_plane/http_api.h
@@ -1,4 +1,5 @@
-/// The HTTP interface of a control plane: load reports, its status, and the generations of table files.
+/// The HTTP API of a control plane: receives load reports, shows the status, and shows and rolls back the
+/// generations of the proxies' table files.
 #pragma once
 
 #include <atomic>
@@ -18,10 +19,10 @@
 
 namespace ospreypost::control_plane {
 
-/// Answers requests. Thread-safe.
+/// Handles HTTP requests. Thread-safe.
 class HttpApi {
  public:
-  /// What it serves, which must outlive it.
+  /// The components that requests are passed to; they must outlive the `HttpApi`.
   struct Targets {
     const config::Config& config;
     ControlPlane& control_plane;
@@ -31,16 +32,17 @@
   HttpApi(const Targets& targets, std::shared_ptr<spdlog::logger> log)
       : targets_(targets), log_(std::move(log)) {}
 
-  /// Until then, requests about generations are rejected. `pusher` must outlive the requests.
+  /// Sets the pusher that reads and rolls back generations.
+  /// Without a pusher, requests for generations are rejected. `pusher` must outlive all requests.
   void set_pusher(files::Pusher* pusher) { pusher_ = pusher; }
   http::Response handle(const http::Request& request);
 
  private:
-  // POST /v1/metrics
+  // Handles POST /v1/metrics.
   http::Response receive_metrics(const http::Request& request);
-  // GET /generations/PROXY
+  // Handles GET /generations/PROXY.
   http::Response show_generations(const std::string& proxy_name);
-  // POST /rollback/PROXY?version=N
+  // Handles POST /rollback/PROXY?version=N. `proxy_and_query` is the part after /rollback/.
   http::Response roll_back(const std::string& proxy_and_query);
   http::Response show_status(const std::string& target);
 
--- a/src/control_plane/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -1,5 +1,5 @@
-/// How lines are prepared for the log: names in place of numbers, and a limit on how many errors of others
-/// are logged.
+/// Helpers for log lines: replacing replica ids by names, and limiting how many errors caused by peers are
+/// logged.
 #pragma once
 
 #include <cstddef>
@@ -19,19 +19,19 @@
 
 namespace ospreypost::control_plane {
 
-/// The controller's line, which knows replicas by number only, with the name in place of the first number
-/// after "replica=". Where `name_of` returns an empty name, the number stays.
+/// Returns `line` with the first number after "replica=" replaced by the name of that replica, because the
+/// controller identifies replicas by number only. Where `name_of` returns an empty name, the number is kept.
 std::string with_replica_name(std::string_view line,
                               const std::function<std::string_view(ReplicaId)>& name_of);
 
-/// Logs errors that others cause, which may come by the thousand, in at most one line for each interval.
-/// Thread-safe.
+/// Logs errors that peers cause.
+/// Peers may cause thousands of errors, so at most one line is logged per interval. Thread-safe.
 class RateLimitedLogger {
  public:
   RateLimitedLogger(std::shared_ptr<spdlog::logger> log, Nanos interval)
       : log_(std::move(log)), interval_(interval) {}
-  /// Counts an error. Logs a warning with the count and this error, unless the interval since the last line
-  /// is not over yet.
+  /// Counts an error. Logs a warning with `what` and the number of errors since the last line, unless the
+  /// last line was logged less than the interval ago.
   void add(const std::string& what);
 
  private:
--- a/src/control_plane/published_state.cpp
+++ b/src/control_plane/published_state.cpp
@@ -31,7 +31,8 @@
   return unroutable_replicas_;
 }
 
-// What is replaced may be large, and is freed after the lock.
+// The setters swap the old value into their parameter: the old value may be large, and is freed after the
+// lock is released.
 
 void PublishedState::set_snapshot(std::shared_ptr<const routing_state::RoutingSnapshot> snapshot) {
   const std::lock_guard lock(mutex_);
--- a/src/control_plane/published_state.h
+++ b/src/control_plane/published_state.h
@@ -1,4 +1,4 @@
-/// What serving threads read without the lock of the controller.
+/// The state that serving threads read without taking the lock of `ControllerDriver`.
 #pragma once
 
 #include <memory>
@@ -11,16 +11,17 @@
 
 namespace ospreypost::control_plane {
 
-/// The newest snapshot, endpoint directory and list of unroutable replicas. Thread-safe; its lock is held for
-/// a few instructions, and no other is taken under it. Written with the lock of `ControllerDriver` held, so
-/// that whoever holds that lock sees no change between two reads.
+/// Holds the newest routing snapshot, endpoint directory and list of unroutable replicas.
+/// Thread-safe: its lock is held for a few instructions, and no other lock is taken while it is held. The
+/// setters are called with the lock of `ControllerDriver` held, so that a thread which holds that lock sees
+/// no change between two reads.
 class PublishedState {
  public:
   std::shared_ptr<const routing_state::RoutingSnapshot> snapshot() const;
-  /// The version of that snapshot.
+  /// Returns the version of the newest routing snapshot.
   routing_state::SnapshotVersion version() const;
   std::shared_ptr<const delivery::EndpointDirectory> directory() const;
-  /// The names of the replicas that no proxy may send to: those that are ejected, draining or gone.
+  /// Names of the replicas that no proxy may send requests to because they are ejected, draining or gone.
   std::vector<std::string> unroutable_replicas() const;
 
   void set_snapshot(std::shared_ptr<const routing_state::RoutingSnapshot> snapshot);
@@ -29,7 +30,7 @@
 
  private:
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`; never null.
+  // Guarded by `mutex_`. The pointers are never null.
   std::shared_ptr<const routing_state::RoutingSnapshot> snapshot_ =
       std::make_shared<routing_state::RoutingSnapshot>();
   std::shared_ptr<const delivery::EndpointDirectory> directory_ =
--- a/src/control_plane/pull_proxies.h
+++ b/src/control_plane/pull_proxies.h
@@ -1,4 +1,5 @@
-/// The proxies that pull their tables: how long each may cache an answer, and what is queued for it.
+/// The proxies that pull their tables: how long each proxy may cache an answer, and which changes are queued
+/// for it.
 #pragma once
 
 #include <functional>
@@ -16,41 +17,49 @@
 
 namespace ospreypost::control_plane {
 
-/// Thread-safe. Its two locks are held for a few instructions, never both, and no other is taken under them.
+/// Tracks the proxies that pull their tables by DNS, and selects the answers to their queries. Thread-safe:
+/// its two locks are held for a few instructions, never both at once, and no other lock is taken while one of
+/// them is held.
 class PullProxies {
  public:
-  /// `config` must outlive it; `clock` is that of the control plane.
+  /// `config` must outlive this object. `clock` is the clock of the control plane.
   PullProxies(const config::Config& config, std::function<Nanos()> clock);
 
-  /// `trusted`: the operator states that it queries without a cache between.
+  /// Registers a configured proxy.
+  /// `trusted` means that, according to the operator, no cache answers the proxy's queries.
   void add_known(ProxyId proxy, bool trusted);
 
-  // What it is given as a DNS client.
+  // The proxies as DNS clients: time to live of their answers, and whether they have joined.
 
-  /// A proxy requests its table of a class.
+  /// Decides how the query of `proxy` for its table of `request_class` is answered, and for how long the
+  /// answer may be cached.
   dns::TtlDecision on_query(Nanos now, ProxyId proxy, ClassId request_class);
-  /// A report of it came, whatever was in it.
+  /// Notes that a report of `proxy` arrived, whether or not its contents were accepted.
   void on_report(ProxyId proxy);
-  /// Those that fell silent; each is named once.
+  /// Returns the proxies that left because neither a query nor a report of them arrived in time; each proxy
+  /// is returned once.
   std::vector<ProxyId> take_silent(Nanos now);
-  /// Whether requests may be sent through it: it has joined and keeps to the drain grace.
+  /// Whether requests may be sent through the proxy: it has joined and uses no answer beyond the drain grace.
   bool is_joined(ProxyId proxy) const;
 
-  // What is delivered to it.
+  // Delivery of routing tables to the proxies.
 
   void on_joined(Nanos now, ProxyId proxy);
   void on_left(ProxyId proxy);
-  /// Of what is published, takes what concerns proxies that pull.
+  /// Queues those changes of `published` that concern proxies which pull.
   void on_published(Nanos now, const routing_state::RoutingState::Publication& published);
-  /// `snapshot` is the one that the request was made with.
+  /// Starts waiting for the acknowledgements that `request` asks for.
+  /// `snapshot` is the routing snapshot that the request was made with.
   void request_acknowledgement(Nanos now, const RequestAcknowledgement& request,
                                const routing_state::RoutingSnapshot& snapshot);
 
   struct Answer {
-    std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;  ///< null: no answer is possible now
-    std::vector<routing_state::PullDelivery::Acknowledgement> acknowledged;  ///< requests that this settles
+    /// Null if no answer is possible now.
+    std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;
+    /// The acknowledgement requests that the proxy fulfils with this query.
+    std::vector<routing_state::PullDelivery::Acknowledgement> acknowledged;
   };
-  /// What a proxy may be answered from now; it counts as delivered.
+  /// Returns the tables that a query of `proxy` may be answered with now. The tables count as delivered.
   Answer take_answer(Nanos now, ProxyId proxy);
   routing_state::PullDelivery::Counts counts() const;
 
--- a/src/control_plane/push_proxies.cpp
+++ b/src/control_plane/push_proxies.cpp
@@ -32,8 +32,9 @@
   limits.entries_per_second = settings.channel_entries_per_second;
   limits.max_messages_per_window = settings.max_messages_per_window;
   limits.window = settings.message_window;
-  // An urgent change must be confirmed while there is time left to act on it if it is not: until the next
-  // check of membership, and for a push that just fails.
+  // The timeout for the confirmation of an urgent change is shorter than the drain grace. The difference
+  // leaves time to react to a missing confirmation: time until the next membership check, and time for a push
+  // that fails at the last moment.
   limits.urgent_change_timeout = settings.drain_grace - 2 * membership_check_interval - config.roll.every;
   limits.liveness_interval = config.files.renew;
   return limits;
@@ -135,7 +136,7 @@
   log_fault(proxy, why);
 }
 
-// Each fault once, not at each attempt.
+// Logs each fault once instead of at each attempt.
 void PushProxies::log_fault(ProxyId proxy, const std::string& why) {
   if (last_faults_[proxy] == why) return;
   last_faults_[proxy] = why;
@@ -143,9 +144,10 @@
   environment_.host.log("push_failed proxy=" + name + " error=" + why, environment_.published.version());
 }
 
-// --- What lies at the proxies
+// --- State reported by the proxies
 
-// False if the proxy goes on as ours; else it joins or leaves by what it stores.
+// Updates the ownership of the proxy by the table that the proxy stores. Returns false if this process
+// continues to own the proxy; otherwise lets the proxy join or leave and returns true.
 bool PushProxies::changes_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote) {
   switch (leases_.observe(proxy, remote)) {
     case routing_state::LeaseTable::Ownership::ours:
@@ -155,7 +157,7 @@
       return true;
     case routing_state::LeaseTable::Ownership::theirs:
       scheduler_.on_rejected(now, proxy);
-      log_fault(proxy, "it follows " + remote.owner);
+      log_fault(proxy, "the proxy follows control plane instance " + remote.owner);
       return true;
   }
   return false;
@@ -166,7 +168,7 @@
   const auto now = clock_();
   if (changes_ownership(now, proxy, remote)) return true;
   scheduler_.on_failed(now, proxy);
-  log_fault(proxy, "it holds something newer");
+  log_fault(proxy, "the proxy holds a newer table");
   return false;
 }
 
@@ -193,7 +195,7 @@
   std::set<ReplicaId> replicas;
   for (const auto& name : rolled_back_to) {
     const auto known = directory->ids_by_name.find(name);
-    // A replica that no list named must not be sent to either.
+    // A replica that no endpoint list has contained must not be sent requests either.
     replicas.insert(known == directory->ids_by_name.end() ? kUnknownReplica : known->second);
   }
   scheduler_.on_rollback(now, proxy, std::move(replicas));
--- a/src/control_plane/push_proxies.h
+++ b/src/control_plane/push_proxies.h
@@ -1,4 +1,5 @@
-/// The proxies that tables are pushed to: what is due when, and which control plane each follows.
+/// The proxies that tables are pushed to: when a push to each proxy is due, and which control plane instance
+/// each proxy follows.
 #pragma once
 
 #include <atomic>
@@ -24,55 +25,57 @@
 
 namespace ospreypost::control_plane {
 
-/// Thread-safe. Its lock is held for a few instructions; under it `PublishedState` is read and
-/// `ControlPlaneHost::log` called. Functions that return whether a proxy's membership may have changed leave
-/// it to the caller to notify the controller.
+/// Schedules the pushes and tracks which proxies have joined. Thread-safe: its lock is held for a few
+/// instructions; while it is held, `PublishedState` is read and `ControlPlaneHost::log` called. Functions
+/// that return whether a proxy's membership may have changed leave it to the caller to notify the controller.
 class PushProxies {
  public:
-  /// What it works with, which must outlive it.
+  /// The objects that `PushProxies` uses; they must outlive it.
   struct Environment {
     const config::Config& config;
     const PublishedState& published;
     ControlPlaneHost& host;
   };
-  /// `membership_check_interval`: at which `take_lost` is called. `clock` is that of the control plane.
+  /// `membership_check_interval` is the interval at which `take_lost` is called.
+  /// `clock` is the clock of the control plane.
   PushProxies(const Environment& environment, routing_state::LeaseTable leases,
               Nanos membership_check_interval, std::function<Nanos()> clock);
 
   void add_known(Nanos now, ProxyId proxy);
-  /// Notified from then on; null: nobody. It must outlive that.
+  /// Sets the listener that is notified when a push becomes available; null removes the listener.
+  /// The listener must outlive its registration.
   void set_listener(delivery::PushListener* listener) { listener_ = listener; }
   void notify_listener();
 
-  /// Whether requests may be sent through it: it has joined, and confirms what must not wait.
+  /// Whether requests may be sent through the proxy: it has joined and confirms urgent changes in time.
   bool is_joined(ProxyId proxy) const;
-  /// Those that stopped confirming; each is named once.
+  /// Returns the proxies that no longer confirm pushes in time; each proxy is returned once.
   std::vector<ProxyId> take_lost(Nanos now);
 
-  /// Of what is published, takes what concerns proxies that are pushed to.
+  /// Queues those changes of `publication` that concern proxies which tables are pushed to.
   void on_published(Nanos now, const routing_state::RoutingState::Publication& publication);
-  /// Sends the complete snapshot that is in force for a proxy.
+  /// Queues `proxy_snapshot`, the complete tables of the proxy in the newest routing snapshot, for a push.
   void resend(Nanos now, ProxyId proxy, std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot);
-  /// The replicas that no proxy may send to changed.
+  /// Notes a change of the replicas that no proxy may send requests to; `unroutable` is their complete list.
   void on_unroutable_changed(Nanos now, std::set<ReplicaId> unroutable);
 
-  // As `delivery::PushService` has them.
+  // These functions implement `delivery::PushService`.
 
   std::optional<delivery::PushMessage> take_push();
   std::optional<Nanos> next_push_in();
   void on_push_confirmed(ProxyId proxy, routing_state::SnapshotVersion version);
   void on_push_failed(ProxyId proxy, const std::string& why);
   void on_rollback(ProxyId proxy, const std::vector<std::string>& rolled_back_to);
-  /// True if its membership may have changed.
+  /// Returns true if the proxy's membership may have changed.
   bool on_push_rejected(ProxyId proxy, const routing_state::RemoteState& remote);
-  /// True if its membership may have changed.
+  /// Returns true if the proxy's membership may have changed.
   bool on_remote_state(ProxyId proxy, const routing_state::RemoteState& remote);
 
   routing_state::PushScheduler::Counts counts() const;
 
  private:
   std::uint64_t epoch_of(ProxyId proxy) const;
-  // With the lock held.
+  // These functions are called with `mutex_` held.
   bool changes_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote);
   void apply_rollback(Nanos now, ProxyId proxy, const std::vector<std::string>& rolled_back_to);
   void log_fault(ProxyId proxy, const std::string& why);
@@ -80,13 +83,14 @@
   const Environment environment_;
   const std::function<Nanos()> clock_;
   std::atomic<delivery::PushListener*> listener_ = nullptr;
-  const std::string owner_;  // as the leases name this process
+  const std::string owner_;  // name of this process in the leases
 
   mutable std::mutex mutex_;
   // Guarded by `mutex_`.
   routing_state::PushScheduler scheduler_;
   routing_state::LeaseTable leases_;
-  std::map<ProxyId, std::string> last_faults_;  // as logged, until a push is confirmed
+  // Last logged fault of each proxy; erased when a push is confirmed.
+  std::map<ProxyId, std::string> last_faults_;
 };
 
 }  // namespace ospreypost::control_plane
--- a/src/control_plane/status.h
+++ b/src/control_plane/status.h
@@ -1,4 +1,5 @@
-/// What a control plane shows of its state, as JSON; and how the load that replicas state is read.
+/// Renders the state of a control plane as JSON, and parses the load values that replicas return to health
+/// checks.
 #pragma once
 
 #include <memory>
@@ -19,26 +20,28 @@
 
 namespace ospreypost::control_plane {
 
-/// The state of a control plane between two calls on its controller.
+/// A consistent copy of the state of a control plane, taken between two calls on its controller.
 struct ControlPlaneStatus {
   std::shared_ptr<const routing_state::RoutingSnapshot> snapshot;
   std::shared_ptr<const delivery::EndpointDirectory> directory;
-  std::vector<EndpointPhase> phases;  ///< by replica
+  std::vector<EndpointPhase> phases;  ///< indexed by replica id
   std::set<ProxyId> joined_proxies;
   routing_state::PullDelivery::Counts pull_counts;
   routing_state::PushScheduler::Counts push_counts;
 };
 
-/// As logs and JSON show a phase.
+/// Name of a phase in log lines and JSON documents.
 const char* name_of(EndpointPhase phase);
 
-/// The JSON document for /tables, /replicas, /proxies or /versions; empty for any other target.
+/// Renders the JSON document for /tables, /replicas, /proxies or /versions; returns empty for any other
+/// target.
 std::optional<std::string> render_status(std::string_view target, const config::Config& config,
                                          const ControlPlaneStatus& status,
                                          const load_reports::ReportCounts& reports);
 
-/// Reads what a replica answers to a health check: {"util": 0.5, ...}, in the order of `columns`. Empty if
-/// one of them is missing, or if it is no such object.
+/// Parses the response of a replica to a health check, such as {"util": 0.5, ...}, into load values in the
+/// order of `columns`.
+/// Returns an empty list if the body is not a JSON object or a column is missing or not a number.
 std::vector<float> parse_load(std::string_view body, const std::vector<LoadMetric>& columns);
 
 }  // namespace ospreypost::control_plane
--- a/tests/program/controller_driver_test.cpp
+++ b/tests/program/controller_driver_test.cpp
@@ -1,4 +1,4 @@
-// When the controller's snapshots are published, and what runs in the thread of its timers.
+// Tests when ControllerDriver publishes snapshots, and what its timer thread runs.
 #include "control_plane/controller_driver.h"
 
 #include <gtest/gtest.h>
@@ -30,8 +30,8 @@
 
 Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
-// Notes when snapshots are published.
-class NotingFrontend : public ControllerFrontend {
+// Records the times at which snapshots are published.
+class RecordingFrontend : public ControllerFrontend {
  public:
   void on_published(Nanos now, const std::optional<RoutingState::Publication>& publication,
                     const std::vector<RequestAcknowledgement>& /*requests*/) override {
@@ -70,18 +70,18 @@
   std::size_t calls_ = 0;
   std::vector<Nanos> published_at_;
 
-  std::condition_variable changed_;  // waited for with `mutex_`
+  std::condition_variable changed_;  // used together with `mutex_`
 };
 
-ControllerDriver::Options options(Nanos gather_time = {}) {
-  ControllerDriver::Options made;
-  made.settings = config::module_settings(test::small_config());
-  made.seed = 1;
-  made.gather_time = gather_time;
-  return made;
+ControllerDriver::Options options(Nanos batch_interval = {}) {
+  ControllerDriver::Options driver_options;
+  driver_options.settings = config::module_settings(test::small_config());
+  driver_options.seed = 1;
+  driver_options.batch_interval = batch_interval;
+  return driver_options;
 }
 
-// A change that is to be published: the proxy comes.
+// Adds a proxy, a change that must be published.
 void add_proxy(ControllerDriver& driver, ProxyId proxy) {
   driver.call([&](RecordingController&, RoutingState& routing_state, Nanos) {
     routing_state.add_proxy(proxy);
@@ -89,8 +89,8 @@
   });
 }
 
-TEST(ControllerDriverTest, PublishesAfterEachCallWhereNothingIsGathered) {
-  NotingFrontend frontend;
+TEST(ControllerDriverTest, PublishesAfterEachCallWithoutABatchInterval) {
+  RecordingFrontend frontend;
   Nanos now = 5s;
   ControllerDriver driver(
       options(), [&] { return now; }, frontend);
@@ -100,8 +100,8 @@
   EXPECT_EQ(frontend.published_at(), (std::vector<Nanos>{5s, 6s}));
 }
 
-TEST(ControllerDriverTest, PublishesNothingWhereACallChangedNothing) {
-  NotingFrontend frontend;
+TEST(ControllerDriverTest, PublishesNothingIfACallChangedNothing) {
+  RecordingFrontend frontend;
   ControllerDriver driver(
       options(), [] { return Nanos(5s); }, frontend);
   driver.call([](RecordingController&, RoutingState&, Nanos) {});
@@ -109,42 +109,42 @@
   EXPECT_TRUE(frontend.published_at().empty());
 }
 
-TEST(ControllerDriverTest, GathersTheCallsOfAShortWhileIntoOneSnapshot) {
-  constexpr Nanos kGatherTime = 500ms;
-  NotingFrontend frontend;
-  ControllerDriver driver(options(kGatherTime), steady_now, frontend);
+TEST(ControllerDriverTest, PublishesTheCallsOfABatchIntervalAsOneSnapshot) {
+  constexpr Nanos kBatchInterval = 500ms;
+  RecordingFrontend frontend;
+  ControllerDriver driver(options(kBatchInterval), steady_now, frontend);
   const Nanos first_call = steady_now();
   add_proxy(driver, ProxyId{0});
   add_proxy(driver, ProxyId{1});
-  EXPECT_TRUE(frontend.published_at().empty()) << "not within the call";
+  EXPECT_TRUE(frontend.published_at().empty()) << "nothing is published before the batch interval is over";
 
   driver.start([] {}, 1h);
 
   ASSERT_TRUE(frontend.wait_for_publications(1));
   driver.stop();
   ASSERT_EQ(frontend.published_at().size(), 1U);
-  EXPECT_GE(frontend.published_at()[0], first_call + kGatherTime);
+  EXPECT_GE(frontend.published_at()[0], first_call + kBatchInterval);
 }
 
 TEST(ControllerDriverTest, RunsTheTimersOfTheController) {
-  NotingFrontend frontend;
+  RecordingFrontend frontend;
   ControllerDriver driver(options(), steady_now, frontend);
   driver.call([](RecordingController& controller, RoutingState&, Nanos now) {
     controller.on_endpoint_list(now, EndpointListKind::complete, {EndpointUpdate{}});
   });
   const auto calls = frontend.calls();
   driver.start([] {}, 1h);
-  EXPECT_TRUE(frontend.wait_for_calls(calls + 2)) << "nobody but a timer made these calls";
+  EXPECT_TRUE(frontend.wait_for_calls(calls + 2)) << "only the timers can have caused these calls";
 }
 
 TEST(ControllerDriverTest, RunsMaintenanceWithoutItsLock) {
-  NotingFrontend frontend;
+  RecordingFrontend frontend;
   ControllerDriver driver(options(1h), steady_now, frontend);
   std::mutex mutex;
   std::condition_variable changed;
   int runs = 0;
   const auto maintenance = [&] {
-    // Would wait for ever if the lock was held.
+    // This call would block forever if the driver's lock were held.
     driver.inspect([] {});
     const std::lock_guard lock(mutex);
     runs += 1;
--- a/tests/program/endpoint_directory_keeper_test.cpp
+++ b/tests/program/endpoint_directory_keeper_test.cpp
@@ -1,4 +1,5 @@
-// How endpoint lists become ids, updates for the controller, and the directory of serving threads.
+// Tests how EndpointDirectoryKeeper turns endpoint lists into ids, updates for the controller, and the
+// endpoint directory.
 #include "control_plane/endpoint_directory_keeper.h"
 
 #include <gtest/gtest.h>
@@ -20,12 +21,12 @@
 using namespace std::chrono_literals;
 
 discovery::Endpoint endpoint(const std::string& name, const std::string& zone) {
-  discovery::Endpoint made;
-  made.name = name;
-  made.zone = zone;
-  made.cell = zone;
-  made.address = {"127.0.0.1", 9001};
-  return made;
+  discovery::Endpoint result;
+  result.name = name;
+  result.zone = zone;
+  result.cell = zone;
+  result.address = {"127.0.0.1", 9001};
+  return result;
 }
 
 struct EndpointDirectoryKeeperTest : testing::Test {
@@ -41,7 +42,7 @@
   }
 };
 
-TEST_F(EndpointDirectoryKeeperTest, GivesIdsToNewEndpointsOnly) {
+TEST_F(EndpointDirectoryKeeperTest, AssignsIdsToNewEndpointsOnly) {
   const auto first = apply({endpoint("a", "east"), endpoint("b", "west")});
   EXPECT_EQ(first.added, (std::vector{ReplicaId{0}, ReplicaId{1}}));
   ASSERT_EQ(first.updates.size(), 2U);
@@ -67,7 +68,7 @@
   EXPECT_EQ(after->find("b"), &after->endpoint(ReplicaId{1}));
 }
 
-TEST_F(EndpointDirectoryKeeperTest, NamesTheReplicasThatNoProxyMaySendTo) {
+TEST_F(EndpointDirectoryKeeperTest, ListsTheUnroutableReplicas) {
   auto draining = endpoint("b", "west");
   draining.draining = true;
   apply({endpoint("a", "east"), draining, endpoint("c", "east")});
--- a/tests/program/log_lines_test.cpp
+++ b/tests/program/log_lines_test.cpp
@@ -1,4 +1,5 @@
-// Names in place of numbers, and at most one line for each interval.
+// Tests that log lines get replica names in place of numbers, and that RateLimitedLogger logs at most one
+// line per interval.
 #include "control_plane/log_lines.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +30,7 @@
             "breaker_opened replica=unit-a cooldown_ms=2000");
 }
 
-TEST(WithReplicaNameTest, LeavesWhatHasNoName) {
+TEST(WithReplicaNameTest, KeepsLinesWithoutAKnownReplica) {
   EXPECT_EQ(named("breaker_opened replica=120 cooldown_ms=2000"),
             "breaker_opened replica=120 cooldown_ms=2000");
   EXPECT_EQ(named("warm_up_held zone=12"), "warm_up_held zone=12");
@@ -48,7 +49,7 @@
   void SetUp() override { log->set_pattern("%v"); }
   std::string written() {
     log->flush();
-    // Whatever the end of a line is on this system.
+    // Removes the carriage returns that some systems write at the end of a line.
     std::string text;
     for (const char letter : lines.str()) {
       if (letter != '\r') text += letter;
@@ -65,7 +66,7 @@
   EXPECT_EQ(written(), "1 such since the last line; the newest: first\n");
 }
 
-TEST_F(RateLimitedLoggerTest, LogsEachErrorWhereNoIntervalIsSet) {
+TEST_F(RateLimitedLoggerTest, LogsEachErrorWithoutAnInterval) {
   RateLimitedLogger errors(log, 0ns);
   errors.add("first");
   errors.add("second");
@@ -74,12 +75,12 @@
             "1 such since the last line; the newest: second\n");
 }
 
-TEST_F(RateLimitedLoggerTest, SumsUpTheErrorsOfAnInterval) {
+TEST_F(RateLimitedLoggerTest, CountsTheErrorsOfAnInterval) {
   const Nanos interval = 200ms;
   RateLimitedLogger errors(log, interval);
   const auto started = std::chrono::steady_clock::now();
   errors.add("first");
-  // As often as it takes until the interval is over; the count must hold all of them.
+  // Adds errors until the interval is over; the count in the next line must include all of them.
   int added = 0;
   while (written().find("newest: later") == std::string::npos) {
     errors.add("later");
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -1,4 +1,4 @@
-// What several tests of the program share: a small configuration.
+// Helpers shared by tests of the program: a small configuration and temporary folders.
 #pragma once
 
 #include <stdlib.h>
@@ -10,7 +10,8 @@
 
 namespace ospreypost::test {
 
-// Two zones, two classes, three proxies; ports of the system's choice.
+// A configuration with two zones, two request classes and three proxies.
+// The port numbers 0 let the system choose free ports.
 inline std::string small_config_text() {
   return R"(<governor name="test" zone="east">
   <zones><zone name="east"/><zone name="west"/></zones>
@@ -39,12 +40,12 @@
 
 inline config::Config small_config() { return config::parse_config(small_config_text(), "small"); }
 
-// The text with the first `from` replaced.
+// Returns `text` with the first occurrence of `from` replaced by `to`.
 inline std::string replace_first(std::string text, const std::string& from, const std::string& to) {
   return text.replace(text.find(from), from.size(), to);
 }
 
-// A folder of a test's own, gone with it.
+// Creates a temporary folder, and removes it with its contents when destroyed.
 struct TemporaryFolder {
   TemporaryFolder() {
     auto pattern = (std::filesystem::temp_directory_path() / "ospreypost-test-XXXXXX").string();
--- a/tests/program/timer_queue_test.cpp
+++ b/tests/program/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// In which order timers are due.
+// Tests the order in which TimerQueue returns its timers.
 #include "control_plane/timer_queue.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(TimerQueueTest, TakesTimersInTheOrderOfTheirTimes) {
+TEST(TimerQueueTest, TakesTimersInOrderOfDueTime) {
   TimerQueue timers;
   timers.add(3s, TimerId{30});
   timers.add(1s, TimerId{10});
@@ -24,7 +24,7 @@
   EXPECT_FALSE(timers.take_due(3s));
 }
 
-TEST(TimerQueueTest, KeepsTheOrderOfAdditionAmongTimersOfOneTime) {
+TEST(TimerQueueTest, KeepsInsertionOrderAmongTimersDueAtTheSameTime) {
   TimerQueue timers;
   timers.add(1s, TimerId{7});
   timers.add(1s, TimerId{3});
@@ -34,7 +34,7 @@
   EXPECT_EQ(timers.take_due(1s), TimerId{7}) << "added twice, due twice";
 }
 
-TEST(TimerQueueTest, LeavesWhatIsNotDue) {
+TEST(TimerQueueTest, KeepsTimersThatAreNotDue) {
   TimerQueue timers;
   EXPECT_FALSE(timers.next_due());
   timers.add(2s, TimerId{1});
