--- a/src/control_plane/control_plane.h
+++ b/src/control_plane/control_plane.h
@@ -116,7 +116,7 @@
   PullProxies pull_proxies_;
   PushProxies push_proxies_;
 
-  // Guarded by the lock of `driver_`.
+  // The following members are guarded by the lock of `driver_`.
   EndpointDirectoryKeeper endpoints_;
   std::set<ProxyId> announced_proxies_;  // proxies that the controller has been notified of as joined
 
--- a/src/control_plane/controller_driver.h
+++ b/src/control_plane/controller_driver.h
@@ -119,7 +119,7 @@
   const Nanos batch_interval_;
 
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`. No I/O happens while `mutex_` is held.
+  // The following members are guarded by `mutex_`. No I/O happens while `mutex_` is held.
   routing_state::RoutingState routing_state_;
   TimerQueue timers_;
   std::vector<RequestAcknowledgement> acknowledgement_requests_;  // made since the last snapshot
@@ -128,7 +128,7 @@
   std::unique_ptr<record::RecordingController> controller_;
   bool stopping_ = false;
 
-  std::condition_variable wake_up_;  // used together with `mutex_`
+  std::condition_variable wake_up_;  // notifies the timer thread; used together with `mutex_`
   net::Thread timer_thread_;
 };
 
--- a/src/control_plane/log_lines.h
+++ b/src/control_plane/log_lines.h
@@ -39,7 +39,7 @@
   const Nanos interval_;
 
   std::mutex mutex_;
-  // Guarded by `mutex_`.
+  // The following members are guarded by `mutex_`.
   std::optional<Nanos> last_logged_at_;
   std::size_t count_since_last_line_ = 0;
 };
--- a/src/control_plane/published_state.h
+++ b/src/control_plane/published_state.h
@@ -30,7 +30,7 @@
 
  private:
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`. The pointers are never null.
+  // The following members are guarded by `mutex_`. The pointers are never null.
   std::shared_ptr<const routing_state::RoutingSnapshot> snapshot_ =
       std::make_shared<routing_state::RoutingSnapshot>();
   std::shared_ptr<const delivery::EndpointDirectory> directory_ =
--- a/src/control_plane/push_proxies.cpp
+++ b/src/control_plane/push_proxies.cpp
@@ -148,7 +148,7 @@
 
 // Updates the ownership of the proxy by the table that the proxy stores. Returns false if this process
 // continues to own the proxy; otherwise lets the proxy join or leave and returns true.
-bool PushProxies::changes_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote) {
+bool PushProxies::update_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote) {
   switch (leases_.observe(proxy, remote)) {
     case routing_state::LeaseTable::Ownership::ours:
       break;
@@ -166,7 +166,7 @@
 bool PushProxies::on_push_rejected(ProxyId proxy, const routing_state::RemoteState& remote) {
   const std::lock_guard lock(mutex_);
   const auto now = clock_();
-  if (changes_ownership(now, proxy, remote)) return true;
+  if (update_ownership(now, proxy, remote)) return true;
   scheduler_.on_failed(now, proxy);
   log_fault(proxy, "the proxy holds a newer table");
   return false;
@@ -175,7 +175,7 @@
 bool PushProxies::on_remote_state(ProxyId proxy, const routing_state::RemoteState& remote) {
   const std::lock_guard lock(mutex_);
   const auto now = clock_();
-  if (changes_ownership(now, proxy, remote)) return true;
+  if (update_ownership(now, proxy, remote)) return true;
   const auto version = remote.has_table ? std::optional(remote.version) : std::nullopt;
   if (scheduler_.on_liveness(now, proxy, version)) return true;
   apply_rollback(now, proxy, remote.rolled_back_to);
--- a/src/control_plane/push_proxies.h
+++ b/src/control_plane/push_proxies.h
@@ -59,7 +59,7 @@
   /// Notes a change of the replicas that no proxy may send requests to; `unroutable` is their complete list.
   void on_unroutable_changed(Nanos now, std::set<ReplicaId> unroutable);
 
-  // These functions implement `delivery::PushService`.
+  // The following functions implement `delivery::PushService`.
 
   std::optional<delivery::PushMessage> take_push();
   std::optional<Nanos> next_push_in();
@@ -75,8 +75,8 @@
 
  private:
   std::uint64_t epoch_of(ProxyId proxy) const;
-  // These functions are called with `mutex_` held.
-  bool changes_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote);
+  // The following functions are called with `mutex_` held.
+  bool update_ownership(Nanos now, ProxyId proxy, const routing_state::RemoteState& remote);
   void apply_rollback(Nanos now, ProxyId proxy, const std::vector<std::string>& rolled_back_to);
   void log_fault(ProxyId proxy, const std::string& why);
 
@@ -86,7 +86,7 @@
   const std::string owner_;  // name of this process in the leases
 
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`.
+  // The following members are guarded by `mutex_`.
   routing_state::PushScheduler scheduler_;
   routing_state::LeaseTable leases_;
   // Last logged fault of each proxy; erased when a push is confirmed.
--- a/src/load_reports/load_report_processor.h
+++ b/src/load_reports/load_report_processor.h
@@ -1,5 +1,5 @@
 /// Processes parsed load reports: rejects data points whose time span was counted before or is too old,
-/// replaces names by ids, and passes the accepted data points on. Does no I/O.
+/// replaces names by ids, and passes the accepted data points to a listener. Does no I/O.
 #pragma once
 
 #include <map>
@@ -49,7 +49,7 @@
   // Counts the verdict; returns true if the data point is accepted.
   bool count_verdict(SpanVerdict verdict, ReportCounts& counts) const;
 
-  // The spans that were counted for one proxy.
+  // A proxy that sends reports: the spans counted for it, and the mutex that guards them.
   struct Sender {
     std::mutex mutex;
     ReportSpans spans;
--- a/src/load_reports/report_spans.cpp
+++ b/src/load_reports/report_spans.cpp
@@ -15,8 +15,8 @@
 bool ReportSpans::matches_clock(Nanos received, Span span) {
   const Nanos lag = received - span.end;
   if (!min_lag_ || lag < *min_lag_) {
-    // The sender's clock may have jumped ahead, which makes all its earlier reports look old.
-    // Reports counted before the jump are in the past anyway.
+    // If the sender's clock jumped ahead, late reports from before the jump are rejected as too old.
+    // Their rejection is acceptable, because the time they cover is past.
     min_lag_ = lag;
     consecutive_outliers_ = 0;
     return true;
@@ -42,7 +42,8 @@
   if (span.end <= span.start || span.end - span.start > max_age_) return SpanVerdict::malformed;
   if (!matches_clock(received, span)) return SpanVerdict::too_old;
   auto& counted = counted_[subject];
-  // Spans before the horizon are forgotten, because no accepted span can overlap them any more.
+  // Spans that ended before the horizon are removed, because no span that overlaps them can be accepted any
+  // more.
   const Nanos horizon = received - *min_lag_ - 2 * max_age_;
   while (!counted.empty() && counted.begin()->second < horizon) counted.erase(counted.begin());
 
--- a/tests/program/controller_driver_test.cpp
+++ b/tests/program/controller_driver_test.cpp
@@ -66,11 +66,11 @@
 
  private:
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`.
+  // The following members are guarded by `mutex_`.
   std::size_t calls_ = 0;
   std::vector<Nanos> published_at_;
 
-  std::condition_variable changed_;  // used together with `mutex_`
+  std::condition_variable changed_;  // notified after each call; used together with `mutex_`
 };
 
 ControllerDriver::Options options(Nanos batch_interval = {}) {
--- a/tests/program/load_reports_test.cpp
+++ b/tests/program/load_reports_test.cpp
@@ -15,8 +15,8 @@
 using load_reports::Span;
 using load_reports::SpanVerdict;
 
-// Spans arrive in any order, repeat and overlap: a span is accepted exactly if it overlaps no accepted span,
-// so no time is counted twice.
+// Spans arrive in any order, repeat and overlap: a span is accepted if and only if it overlaps no span
+// accepted before, so no time is counted twice.
 RC_GTEST_PROP(ReportSpans, CountNoTimeTwice, ()) {
   load_reports::ReportSpans spans(30s);
   std::set<int> counted;  // unit: tenths of a second
