--- a/src/control_plane/control_plane_server.cpp
+++ b/src/control_plane/control_plane_server.cpp
@@ -102,7 +102,7 @@
 
 std::unique_ptr<http::Server> ControlPlaneServer::make_http_server() {
   http::Limits limits;
-  limits.most_body_bytes = config_.reports.most_bytes;
+  limits.max_body_bytes = config_.reports.most_bytes;
   const auto handle = [this](const http::Request& request) { return http_api_->handle(request); };
   const auto on_error = [this](const std::string& what) { log_peer_error(what); };
   return std::make_unique<http::Server>("http", config_.reports.listen, limits, kMaxHttpConnections, handle,
--- a/src/fakes/faulty_link.cpp
+++ b/src/fakes/faulty_link.cpp
@@ -12,7 +12,7 @@
 
 http::Limits limits() {
   http::Limits limits;
-  limits.most_body_bytes = std::size_t{16} << 20;
+  limits.max_body_bytes = std::size_t{16} << 20;
   return limits;
 }
 
--- a/src/files/receiver.cpp
+++ b/src/files/receiver.cpp
@@ -16,7 +16,7 @@
 
 http::Limits limits() {
   http::Limits limits;
-  limits.most_body_bytes = std::size_t{16} << 20;
+  limits.max_body_bytes = std::size_t{16} << 20;
   return limits;
 }
 
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -70,8 +70,8 @@
 std::optional<Request> Connection::read_request(const Limits& limits) {
   beast::request_parser<beast::string_body> parser;
   parser.eager(true);
-  parser.header_limit(static_cast<std::uint32_t>(limits.most_header_bytes));
-  parser.body_limit(limits.most_body_bytes);
+  parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
+  parser.body_limit(limits.max_body_bytes);
   if (!read_into(parser, net::Steady::now() + limits.idle, limits.whole)) return std::nullopt;
   auto message = parser.release();
   Request request;
@@ -84,10 +84,10 @@
   return request;
 }
 
-Response Connection::read_response(std::size_t most_body_bytes, net::Deadline until) {
+Response Connection::read_response(std::size_t max_body_bytes, net::Deadline until) {
   beast::response_parser<beast::string_body> parser;
   parser.eager(true);
-  parser.body_limit(most_body_bytes);
+  parser.body_limit(max_body_bytes);
   if (!read_into(parser, until, until - net::Steady::now()))
     throw net::Error("the peer closed without an answer");
   auto message = parser.release();
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -31,8 +31,8 @@
 };
 
 struct Limits {
-  std::size_t most_header_bytes = 8192;
-  std::size_t most_body_bytes = 1'000'000;
+  std::size_t max_header_bytes = 8192;
+  std::size_t max_body_bytes = 1'000'000;
   net::Steady::duration idle = std::chrono::seconds(5);   // for the first byte of a message
   net::Steady::duration whole = std::chrono::seconds(3);  // for all of it, from its first byte
 };
@@ -53,7 +53,7 @@
   // Empty at an orderly end between messages. Throws Refused (400, 408, 413, 431) or net::Error.
   std::optional<Request> read_request(const Limits& limits);
   // Throws net::Error at the deadline, a broken stream or a malformed answer.
-  Response read_response(std::size_t most_body_bytes, net::Deadline until);
+  Response read_response(std::size_t max_body_bytes, net::Deadline until);
   // Reads an answer whose body goes on, and hands over each of its lines without its end, until the body
   // ends. Throws net::Error when no line became whole within `line` of the one before it (the first: of the
   // call), however many bytes of it came; when the line is too long, the status is not 200, or at the time
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -16,8 +16,8 @@
 struct Serving {
   static Limits limits() {
     Limits limits;
-    limits.most_body_bytes = 1000;
-    limits.most_header_bytes = 500;
+    limits.max_body_bytes = 1000;
+    limits.max_header_bytes = 500;
     limits.whole = 200ms;
     return limits;
   }
