--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -29,14 +29,14 @@
 constexpr milliseconds kMinBackoff{50};
 constexpr milliseconds kMaxBackoff{1000};
 constexpr std::size_t kMaxDrainingWatches = 4;
-// Far ahead, with room to add to it.
+// A deadline that is never reached: one hour below the maximum, so that adding a timeout cannot overflow.
 constexpr net::Deadline kNoDeadline = net::Deadline::max() - std::chrono::hours(1);
 
 bool is_blank(std::string_view line) { return line.find_first_not_of(" \r\t") == std::string_view::npos; }
 
 }  // namespace
 
-// The watch of one address, in a thread of its own: connects, reads, and connects again after a backoff.
+// Watches one address in its own thread: connects, reads updates, and reconnects after a backoff.
 class DiscoveryWatcher::AddressWatch {
  public:
   AddressWatch(DiscoveryWatcher& watcher, net::Address address);
@@ -44,9 +44,11 @@
   AddressWatch& operator=(const AddressWatch&) = delete;
   ~AddressWatch();
 
+  // Requests the complete list on a new connection.
   void refresh();
-  // Reads on while the watch lasts, but not for long, and connects no more.
+  // Reads the current connection until it ends or the draining timeout passes, and does not reconnect.
   void drain();
+  // Returns whether the thread has finished its work and can be joined without a wait.
   bool has_ended() const;
 
  private:
@@ -60,25 +62,26 @@
   const net::Address address_;
   net::CancellationEvent cancellation_;
 
-  // Used by the thread alone.
-  bool needs_complete_list_ = false;          // requests without a revision
-  bool received_complete_list_ = false;       // on this connection
-  std::optional<net::Deadline> stale_since_;  // sends lists that are older than the known one
+  // Used only by the thread of this watch.
+  bool needs_complete_list_ = false;     // The next request omits the revision, to get the complete list.
+  bool received_complete_list_ = false;  // Whether this connection has delivered a complete list.
+  // Time since when this address has sent only older lists; empty if its last list was not older.
+  std::optional<net::Deadline> stale_since_;
 
   mutable std::mutex mutex_;
-  // Guarded by `mutex_`, which is held for a few instructions.
+  // The following members are guarded by `mutex_`, which is never held during I/O.
   std::optional<net::Deadline> ends_at_;
   bool refresh_requested_ = false;
   bool watching_ = false;
   bool ended_ = false;
 
-  std::condition_variable changed_;  // waited for with `mutex_`
+  std::condition_variable changed_;  // Used with `mutex_`.
   net::Thread thread_;
 };
 
 DiscoveryWatcher::AddressWatch::AddressWatch(DiscoveryWatcher& watcher, net::Address address)
     : watcher_(watcher), address_(std::move(address)) {
-  thread_ = net::Thread("registry", [this] { run(); });
+  thread_ = net::Thread("discovery", [this] { run(); });
 }
 
 DiscoveryWatcher::AddressWatch::~AddressWatch() {
@@ -132,14 +135,14 @@
   ended_ = true;
 }
 
-// Why the watch ended.
+// Returns the reason why the watch ended.
 std::string DiscoveryWatcher::AddressWatch::watch_until_broken() {
   try {
     watch();
   } catch (const std::exception& error) {
     return error.what();
   }
-  return "the answer ended";
+  return "the server ended the response";
 }
 
 void DiscoveryWatcher::AddressWatch::watch() {
@@ -170,24 +173,25 @@
 
 void DiscoveryWatcher::AddressWatch::on_line(std::string_view line) {
   const auto now = net::Steady::now();
-  const bool has_begun_anew = stale_since_ && now - *stale_since_ >= watcher_.timeouts_.stale;
-  if (has_begun_anew && !needs_complete_list_) {
+  const bool server_restarted = stale_since_ && now - *stale_since_ >= watcher_.timeouts_.stale;
+  if (server_restarted && !needs_complete_list_) {
     needs_complete_list_ = true;
-    throw net::Error("older lists for so long: it is asked for the whole one");
+    throw net::Error(
+        "the server has only sent lists older than the known list; requesting the complete list");
   }
   if (is_blank(line)) return;
   const auto update = parse_endpoint_list_update(line);
-  // Changes to a list that is not the known one make no list.
+  // Incremental changes cannot be applied here: they may refer to a list other than the known list.
   if (needs_complete_list_ && !received_complete_list_ && !update.complete)
-    throw net::Error("changes where the whole list was asked for");
+    throw net::Error("expected the complete list, received changes");
   received_complete_list_ = received_complete_list_ || update.complete;
-  const auto policy = has_begun_anew ? StaleListPolicy::accept_complete : StaleListPolicy::drop;
+  const auto policy = server_restarted ? StaleListPolicy::accept_complete : StaleListPolicy::drop;
   if (watcher_.apply(update, policy)) {
     stale_since_.reset();
     needs_complete_list_ = false;
   } else if (!stale_since_) {
     stale_since_ = now;
-    watcher_.report_error("an older list than the known one");
+    watcher_.report_error("the server sent a list older than the known list");
   }
 }
 
@@ -203,7 +207,7 @@
   const std::lock_guard lock(watches_mutex_);
   if (!current_watch_) return;
   std::erase_if(draining_watches_, [](const auto& watch) { return watch->has_ended(); });
-  // Against a flood of moves: the oldest watch ends now.
+  // Limits the number of draining watches when many moves follow each other: the oldest watch ends now.
   if (draining_watches_.size() >= kMaxDrainingWatches) draining_watches_.erase(draining_watches_.begin());
   current_watch_->drain();
   draining_watches_.push_back(std::move(current_watch_));
@@ -216,7 +220,7 @@
 }
 
 void DiscoveryWatcher::stop() {
-  // Joined without the lock, as they leave this scope.
+  // The watches are destroyed and their threads joined after `lock` is released, at the end of stop().
   std::vector<std::unique_ptr<AddressWatch>> watches;
   const std::lock_guard lock(watches_mutex_);
   watches = std::exchange(draining_watches_, {});
@@ -228,9 +232,10 @@
   return revision_;
 }
 
-// False if the update was dropped as it is older than what is known. Two addresses may send at a time, and
-// one may be behind the other: what is gone or draining since must not come back by an older list, nor by an
-// older change.
+// Returns false if the update was dropped because it is older than the known list.
+//
+// After a move, the old and the new address may both send updates, and one address may be behind the other.
+// An older update must not bring back an endpoint that has since been removed or reported as draining.
 bool DiscoveryWatcher::apply(const EndpointListUpdate& update, StaleListPolicy policy) {
   const std::lock_guard lock(update_mutex_);
   const bool older = update.complete ? update.revision < revision_ : update.revision <= revision_;
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -1,4 +1,5 @@
-/// Follows the platform's discovery: a watch over HTTP/1.1 that is opened anew whenever it breaks.
+/// Receives endpoint lists from the platform's discovery by a watch over HTTP/1.1.
+/// A watch whose connection breaks is reopened.
 #pragma once
 
 #include <chrono>
@@ -13,49 +14,49 @@
 
 namespace ospreypost::discovery {
 
-/// Receives what discovery sends. Called from the watcher's threads, one call at a time.
+/// Receives the updates of the endpoint list. Called from the watcher's threads, one call at a time.
 class EndpointListHandler {
  public:
   virtual ~EndpointListHandler() = default;
   virtual void on_endpoint_list_update(const EndpointListUpdate& update) = 0;
-  /// The watch broke, or what came could not be used. The last list stays in force.
+  /// Called when the connection of a watch breaks, or a message cannot be used. The last list stays in force.
   virtual void on_discovery_error(const std::string& why) = 0;
 };
 
-/// Watches one address until it is stopped. The list only goes forward: an update that is older than the
-/// known revision is dropped, whichever address sends it. Thread-safe.
+/// Watches one discovery address until stop() is called. An update that is older than the known revision is
+/// dropped, regardless of the address that sent the update. Thread-safe.
 ///
-/// Lock order: `watches_mutex_`, then a watch's own lock; `update_mutex_`, then whatever the handler takes.
-/// `update_mutex_` is never taken while one of the others is held. `watches_mutex_` is held while a thread is
-/// joined that may hold `update_mutex_`, so the handler must not call the watcher.
+/// Lock order: `watches_mutex_` before the mutex of a watch; `update_mutex_` before the locks that the
+/// handler takes. `update_mutex_` is never taken while another of these locks is held. `watches_mutex_` is
+/// held while a thread is joined that may hold `update_mutex_`, so the handler must not call the watcher.
 class DiscoveryWatcher {
  public:
   struct Timeouts {
-    /// For a connection to be made, and again for the request to be sent.
+    /// Maximum time to establish a connection, and again to send the request.
     net::Steady::duration connect = std::chrono::seconds(1);
-    /// Without a complete line for this long the watch counts as broken: discovery sends an empty line every
-    /// 2 s while nothing changes. Together with a backoff and a connection it stays below the 6 s after which
-    /// discovery counts a change as received.
+    /// Maximum time between two complete lines, after which the connection counts as broken. Discovery sends
+    /// an empty line every 2 s while nothing changes. The sum of this time, a backoff and a connection setup
+    /// stays below the 6 s after which discovery counts a change as received.
     net::Steady::duration idle = std::chrono::seconds(3);
-    /// After a move the old address is read for this long: what it has written counts as received, and the
-    /// new address may be behind it.
+    /// Time for which the old address is still read after a move. Discovery counts the updates that the old
+    /// address has written as received, and the new address may be behind the old one.
     net::Steady::duration draining = std::chrono::seconds(2);
-    /// An address that sends older lists for this long is not behind, but has begun anew: its next complete
-    /// list is taken over.
+    /// An address that sends only older lists for this long is not behind: its server has restarted, and its
+    /// revisions have started anew. The next complete list from the address is accepted then.
     net::Steady::duration stale = std::chrono::seconds(60);
   };
 
-  /// `revision` is that of the list that is known already. `handler` must outlive the watcher. Throws
-  /// `net::Error` if no thread can be had.
+  /// `revision` is the revision of the list that the caller already has. `handler` must outlive the watcher.
+  /// Throws `net::Error` if no thread can be created.
   DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& handler)
       : DiscoveryWatcher(address, revision, handler, Timeouts{}) {}
   DiscoveryWatcher(const net::Address& address, std::uint64_t revision, EndpointListHandler& handler,
                    const Timeouts& timeouts);
   ~DiscoveryWatcher();
 
-  /// Watches another address at once; the old one is read on for a short while.
+  /// Watches another address at once. The old address is still read for the time `Timeouts::draining`.
   void move_to(const net::Address& address);
-  /// Requests the complete list anew.
+  /// Requests the complete list on a new connection.
   void refresh();
   /// Ends all watches and joins their threads.
   void stop();
@@ -71,14 +72,14 @@
   EndpointListHandler& handler_;
   const Timeouts timeouts_;
 
-  // Held while the handler is called, so that updates arrive in their order.
+  // Held while the handler is called, so that the handler receives updates in the order of their revisions.
   mutable std::mutex update_mutex_;
-  std::uint64_t revision_;  // guarded by `update_mutex_`
+  std::uint64_t revision_;  // Guarded by `update_mutex_`.
 
-  // Guards the watches below; no I/O and no call of the handler while it is held.
+  // Guards `current_watch_` and `draining_watches_`. Not held during I/O or calls of the handler.
   std::mutex watches_mutex_;
   std::unique_ptr<AddressWatch> current_watch_;
-  std::vector<std::unique_ptr<AddressWatch>> draining_watches_;  // the oldest first
+  std::vector<std::unique_ptr<AddressWatch>> draining_watches_;  // Oldest first.
 };
 
 }  // namespace ospreypost::discovery
--- a/src/discovery/endpoint_file_source.cpp
+++ b/src/discovery/endpoint_file_source.cpp
@@ -27,7 +27,7 @@
 
 using nlohmann::json;
 
-// A file that was written within this time may be written again without getting another timestamp.
+// A file that is written twice within this time may have the same modification time after both writes.
 constexpr Nanos kFileTimestampResolution = std::chrono::milliseconds(50);
 constexpr std::size_t kMaxFileBytes = std::size_t{16} << 20;
 constexpr std::size_t kMaxNameLength = 62;
@@ -42,16 +42,16 @@
          std::all_of(name.begin(), name.end(), is_allowed);
 }
 
-std::string text_of(const json& entry, const char* key, const std::string& otherwise) {
+std::string text_of(const json& entry, const char* key, const std::string& default_value) {
   const auto found = entry.find(key);
-  if (found == entry.end()) return otherwise;
-  if (!found->is_string()) throw net::Error(std::string("the endpoint file's ") + key + " is no text");
+  if (found == entry.end()) return default_value;
+  if (!found->is_string()) throw net::Error(std::string("the endpoint file's ") + key + " is not a string");
   return found->get<std::string>();
 }
 
-double number_of(const json& value, const std::string& what) {
+double number_of(const json& value, const std::string& description) {
   const double number = value.is_number() ? value.get<double>() : std::numeric_limits<double>::quiet_NaN();
-  if (!std::isfinite(number)) throw net::Error(what + " is no number");
+  if (!std::isfinite(number)) throw net::Error(description + " is not a number");
   return number;
 }
 
@@ -70,7 +70,8 @@
 double parse_weight(const json& entry, const std::string& error_prefix) {
   if (!entry.contains("weight")) return Endpoint{}.weight;
   const double weight = number_of(entry["weight"], error_prefix + "weight");
-  if (weight <= 0 || weight > kMaxWeight) throw net::Error(error_prefix + "weight must be above 0");
+  if (weight <= 0 || weight > kMaxWeight)
+    throw net::Error(error_prefix + "weight must be above 0 and at most 1000000");
   return weight;
 }
 
@@ -82,11 +83,11 @@
 }
 
 Endpoint parse_endpoint(const json& entry, const config::Config& config) {
-  if (!entry.is_object()) throw net::Error("the endpoint file holds an entry that is no object");
+  if (!entry.is_object()) throw net::Error("the endpoint file contains an entry that is not an object");
   Endpoint endpoint;
   endpoint.name = text_of(entry, "name", "");
   if (!is_dns_label(endpoint.name))
-    throw net::Error("the endpoint file's name '" + endpoint.name + "' is no label of a DNS name");
+    throw net::Error("the endpoint file's name '" + endpoint.name + "' is not a valid label of a DNS name");
   const auto error_prefix = "the endpoint file's " + endpoint.name + ": ";
   endpoint.zone = text_of(entry, "zone", "");
   if (!contains(config.zones, endpoint.zone))
@@ -111,10 +112,10 @@
 std::vector<Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config) {
   if (text.size() > kMaxFileBytes) throw net::Error("the endpoint file is longer than 16 MiB");
   const auto document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) throw net::Error("the endpoint file is no JSON, or only half of one");
+  if (document.is_discarded()) throw net::Error("the endpoint file is no JSON, or is incomplete");
   const auto entries = document.is_object() ? document.find("backends") : document.end();
   if (!document.is_object() || entries == document.end() || !entries->is_array())
-    throw net::Error("the endpoint file has no list of backends");
+    throw net::Error("the endpoint file has no array 'backends'");
   std::vector<Endpoint> endpoints;
   for (const auto& entry : *entries) endpoints.push_back(parse_endpoint(entry, config));
   return endpoints;
@@ -149,7 +150,8 @@
   try {
     read_if_changed();
   } catch (const std::exception& error) {
-    // The next poll tries again, as the file may be half-written now; the same error is reported once.
+    // The next poll reads the file again, as the file may be only half-written now. An error that repeats the
+    // last error is not reported again.
     if (last_error_ != error.what()) listener_.on_endpoint_list_unreadable(error.what());
     last_error_ = error.what();
   }
@@ -157,7 +159,8 @@
 
 void EndpointFileSource::read_if_changed() {
   struct stat status {};
-  if (::stat(config_.roll.path.c_str(), &status) != 0) throw net::Error("the endpoint file is not there");
+  if (::stat(config_.roll.path.c_str(), &status) != 0)
+    throw net::Error("the endpoint file does not exist or cannot be accessed");
   const FileStamp stamp{status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size, status.st_ino};
   if (stamp == last_stamp_ && !refresh_requested_.exchange(false)) return;
   const auto read_at = clock_();
--- a/src/discovery/endpoint_file_source.h
+++ b/src/discovery/endpoint_file_source.h
@@ -1,11 +1,12 @@
-/// The endpoint list as a JSON file, watched by its modification and read as a whole or not at all.
+/// Reads the endpoint list from a JSON file whenever the file is modified.
+/// The content of the file is applied as a whole or not at all.
 ///
-///   {"backends": [{"name": "unit-1", "zone": "east", "kind": "new-rack", "cell": "a", "address":
-///   "127.0.0.1:9001",
-///                  "phase": "ready", "weight": 1.0, "started": 1764575432.25}]}
+///   {"backends": [{"name": "unit-1", "zone": "east", "kind": "new-rack", "cell": "a",
+///                  "address": "127.0.0.1:9001", "phase": "ready", "weight": 1.0, "started": 1764575432.25}]}
 ///
-/// `phase` is "ready" or "draining"; an endpoint that is gone is left out. `started` is in seconds since
-/// 1970, and left out where it was long ago. `kind`, `cell` and `weight` may be left out.
+/// `phase` is "ready" or "draining"; an endpoint that is gone is not listed. `started` is the start of the
+/// endpoint's process in seconds since 1970, and is omitted if the process started long ago. `kind`, `cell`
+/// and `weight` may be omitted.
 #pragma once
 
 #include <atomic>
@@ -24,34 +25,36 @@
 
 namespace ospreypost::discovery {
 
-/// Reads the text of an endpoint file. Throws `net::Error` naming what is wrong.
+/// Parses the text of an endpoint file. Throws `net::Error`, which names the fault, if the text is invalid.
 std::vector<Endpoint> parse_endpoint_file(std::string_view text, const config::Config& config);
 
-/// Receives what a source of the list reads. Called from the source's thread.
+/// Receives the changes of the endpoint list from its source. Called from the source's thread.
 class EndpointSourceListener {
  public:
   virtual ~EndpointSourceListener() = default;
   virtual void on_endpoint_list_changed(const EndpointList::Changes& changes) = 0;
-  /// No list could be read, and why: the last good list stays in force. Called once for each cause.
+  /// Called when no valid list could be read, but only once while the same error persists.
+  /// The last valid list stays in force.
   virtual void on_endpoint_list_unreadable(const std::string& why) = 0;
 };
 
-/// Polls the file that the configuration names, in a thread of its own.
+/// Polls the endpoint file that the configuration names, in its own thread.
 class EndpointFileSource {
  public:
-  /// A monotonic clock.
+  /// Returns the time of a monotonic clock.
   using Clock = std::function<Nanos()>;
 
-  /// Polls from now on. `config` and `listener` must outlive it. Throws `net::Error` if no thread can be had.
+  /// Starts to poll. `config` and `listener` must outlive the source.
+  /// Throws `net::Error` if the thread cannot be created.
   EndpointFileSource(const config::Config& config, EndpointSourceListener& listener, Clock clock);
   ~EndpointFileSource() { stop(); }
-  /// Has the next poll read the file, changed or not. From any thread.
+  /// Makes the next poll read the file even if the file has not changed. May be called from any thread.
   void refresh() { refresh_requested_ = true; }
-  /// Returns once the thread has ended.
+  /// Stops polling. Returns when the thread has ended.
   void stop();
 
  private:
-  // Tells two contents of the file apart, as far as the file system can.
+  // File attributes that are compared to detect a modification of the file.
   struct FileStamp {
     std::int64_t modified_seconds = 0;
     std::int64_t modified_nanos = 0;
@@ -69,13 +72,13 @@
   const Clock clock_;
   std::atomic<bool> refresh_requested_ = true;
 
-  // Used by the thread alone.
+  // Used only by the polling thread.
   EndpointList list_;
   FileStamp last_stamp_;
   std::string last_error_;
 
   std::mutex mutex_;
-  bool stopping_ = false;  // guarded by `mutex_`
+  bool stopping_ = false;  // Guarded by `mutex_`.
   std::condition_variable stop_requested_;
   net::Thread thread_;
 };
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,7 +1,7 @@
-/// The endpoint list as a source gives it, and what changes from one list to the next. No I/O.
+/// The endpoint list of a source, and the changes between two successive lists. No I/O.
 ///
-/// A list is applied as a whole or not at all. One that is empty or contradicts itself is rejected, and the
-/// last good one stays in force.
+/// A list is applied as a whole or not at all. A list that is empty, or names an endpoint twice or without a
+/// name, is rejected, and the last valid list stays in force.
 #pragma once
 
 #include <chrono>
@@ -16,50 +16,52 @@
 
 namespace ospreypost::discovery {
 
-/// A moment of the wall clock, which may be set while the program runs.
+/// A time on the wall clock. The wall clock may be adjusted while the program runs.
 using WallTime = std::chrono::sys_time<Nanos>;
 
 /// One endpoint as a source lists it.
 struct Endpoint {
   std::string name;
   std::string zone;
-  std::string kind;  ///< of hardware
+  std::string kind;  ///< Kind of hardware.
   std::string cell;
   net::Address address;
   bool draining = false;
   double weight = 1;
-  std::optional<WallTime> started;  ///< absent: long ago
+  std::optional<WallTime> started;  ///< Start of its process; empty if it started long ago.
   bool operator==(const Endpoint&) const = default;
 };
 
-/// How one endpoint differs from the list before.
+/// The change of one endpoint from the previous list to the current list.
 struct EndpointChange {
-  const Endpoint* endpoint = nullptr;  ///< null when it is gone; valid until the next update of its list
+  /// Null if the endpoint is gone. The pointer is valid until the next update of the list.
+  const Endpoint* endpoint = nullptr;
   std::string name;
   EndpointPhase phase = EndpointPhase::ready;
-  std::optional<Nanos> started;  ///< on the monotonic clock; absent: long ago
+  std::optional<Nanos> started;  ///< Start on the monotonic clock; empty if it was long ago.
 };
 
-/// The last good list. Not thread-safe.
+/// Holds the last valid list. Not thread-safe.
 class EndpointList {
  public:
-  /// What an update changed.
+  /// The changes that an update made to the list.
   struct Changes {
     bool is_first_list = false;
-    std::vector<EndpointChange> changes;  ///< by ascending name
+    std::vector<EndpointChange> changes;  ///< In ascending order of the names.
   };
 
-  /// Replaces the list by one that was read at `read_at` on the monotonic clock, which was `wall_time` on the
-  /// wall clock. Throws `net::Error` naming what is wrong with it, and then keeps the list that it had.
+  /// Replaces the list by `endpoints`, which were read at the monotonic time `read_at` and the wall clock
+  /// time `wall_time`. Throws `net::Error`, which names the fault, and keeps the previous list if `endpoints`
+  /// is invalid.
   Changes update(Nanos read_at, WallTime wall_time, std::vector<Endpoint> endpoints);
 
-  /// The number of endpoints in the last good list.
+  /// Returns the number of endpoints in the last valid list.
   std::size_t size() const { return known_.size(); }
 
  private:
   struct KnownEndpoint {
     Endpoint endpoint;
-    std::optional<Nanos> started;  // on the monotonic clock
+    std::optional<Nanos> started;  // Start on the monotonic clock; empty if it was long ago.
   };
 
   std::optional<Nanos> start_of(const Endpoint& endpoint, Nanos read_at, WallTime wall_time) const;
--- a/src/discovery/endpoint_list_update.cpp
+++ b/src/discovery/endpoint_list_update.cpp
@@ -26,16 +26,16 @@
 
 std::string text_at(const json& entry, const char* key) {
   const auto found = entry.find(key);
-  if (found == entry.end() || !found->is_string()) throw net::Error(std::string(key) + " is no text");
+  if (found == entry.end() || !found->is_string()) throw net::Error(std::string(key) + " is not a string");
   return found->get<std::string>();
 }
 
-// Of a value from 0 to `max`.
+// Returns the number under `key`. Throws `net::Error` unless the number is from 0 to `max`.
 double number_at(const json& entry, const char* key, double max) {
   const auto found = entry.find(key);
-  if (found == entry.end() || !found->is_number()) throw net::Error(std::string(key) + " is no number");
+  if (found == entry.end() || !found->is_number()) throw net::Error(std::string(key) + " is not a number");
   const double number = found->get<double>();
-  // NaN fails both comparisons.
+  // NaN is out of range, as both comparisons are false for NaN.
   const bool in_range = number >= 0 && number <= max;
   if (!in_range) throw net::Error(std::string(key) + " is out of range");
   return number;
@@ -45,14 +45,14 @@
   if (text == "SERVING") return EndpointPhase::ready;
   if (text == "DRAINING") return EndpointPhase::draining;
   if (text == "DELETED") return EndpointPhase::gone;
-  throw net::Error("phase is unknown");
+  throw net::Error("unknown phase");
 }
 
 EndpointEntry parse_entry(const json& fields) {
-  if (!fields.is_object()) throw net::Error("an entry is no object");
+  if (!fields.is_object()) throw net::Error("an entry is not an object");
   EndpointEntry entry;
   entry.name = text_at(fields, "id");
-  if (entry.name.empty() || entry.name.size() > kMaxNameLength) throw net::Error("id is no name");
+  if (entry.name.empty() || entry.name.size() > kMaxNameLength) throw net::Error("id is empty or too long");
   entry.phase = parse_phase(text_at(fields, "phase"));
   if (entry.phase == EndpointPhase::gone) return entry;
   entry.address = net::Address::parse(text_at(fields, "host_port"));
@@ -68,21 +68,21 @@
 json parse_document(std::string_view text) {
   json document = json::parse(text, nullptr, false);
   if (document.is_discarded()) throw net::Error("the list is no JSON");
-  if (!document.is_object()) throw net::Error("the list is no object");
+  if (!document.is_object()) throw net::Error("the list is not an object");
   return document;
 }
 
 std::uint64_t parse_revision(const json& document) {
   const auto revision = document.find("revision");
   if (revision == document.end() || !revision->is_number_unsigned())
-    throw net::Error("revision is no number");
+    throw net::Error("revision is not an unsigned number");
   return revision->get<std::uint64_t>();
 }
 
 bool parse_complete(const json& document) {
   const auto complete = document.find("complete");
   if (complete == document.end() || !complete->is_boolean())
-    throw net::Error("complete is neither yes nor no");
+    throw net::Error("complete is neither true nor false");
   return complete->get<bool>();
 }
 
@@ -95,12 +95,12 @@
 
 void parse_entries(const json& document, EndpointListUpdate& update) {
   const auto entries = document.find("members");
-  if (entries == document.end() || !entries->is_array()) throw net::Error("members is no list");
+  if (entries == document.end() || !entries->is_array()) throw net::Error("members is not an array");
   std::set<std::string> names;
   for (const auto& fields : *entries) {
     try {
       auto entry = parse_entry(fields);
-      if (!names.insert(entry.name).second) throw net::Error("named twice");
+      if (!names.insert(entry.name).second) throw net::Error("an endpoint is listed twice");
       update.entries.push_back(std::move(entry));
     } catch (const net::Error&) {
       reject(fields, update);
--- a/src/discovery/endpoint_list_update.h
+++ b/src/discovery/endpoint_list_update.h
@@ -1,4 +1,4 @@
-/// The messages of the platform's discovery: a complete endpoint list, or changes of one, as JSON.
+/// The JSON messages of the platform's discovery: a complete endpoint list, or changes of an endpoint list.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +13,29 @@
 
 namespace ospreypost::discovery {
 
-/// One endpoint as discovery writes it. Of one that is gone, only the name is set.
+/// One endpoint in a message of discovery. For an endpoint that is gone, only the name and the phase are set.
 struct EndpointEntry {
   std::string name;
   std::string zone;
-  std::string kind;  ///< of hardware
+  std::string kind;  ///< Kind of hardware.
   std::uint32_t cell = 0;
   net::Address address;
   EndpointPhase phase = EndpointPhase::ready;
   double weight = 1;
-  std::optional<Nanos> started;  ///< since 1970; absent: long ago
+  std::optional<Nanos> started;  ///< Start of its process, since 1970; empty if it was long ago.
 };
 
-/// One message: the state at a revision, or what changed with it.
+/// One message: the complete list at a revision, or the changes that the revision made.
 struct EndpointListUpdate {
   std::uint64_t revision = 0;
-  bool complete = false;  ///< endpoints that it does not name are gone
+  bool complete = false;  ///< If set, endpoints that the message does not name are gone.
   std::vector<EndpointEntry> entries;
-  std::size_t rejected = 0;                 ///< entries that could not be read; the others are valid
-  std::vector<std::string> rejected_names;  ///< of those, as far as they could be read
+  std::size_t rejected = 0;                 ///< Number of invalid entries, which are not in `entries`.
+  std::vector<std::string> rejected_names;  ///< Names of the invalid entries that have a readable name.
 };
 
-/// Reads one message. Throws `net::Error` naming what is wrong where it cannot be read as a whole; single
-/// entries that cannot be read are counted instead.
+/// Parses one message. Throws `net::Error`, which names the fault, if the message as a whole is invalid.
+/// Single invalid entries are counted as rejected instead.
 EndpointListUpdate parse_endpoint_list_update(std::string_view text);
 
 }  // namespace ospreypost::discovery
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -12,8 +12,8 @@
 namespace beast = boost::beast::http;
 using namespace std::chrono_literals;
 
-constexpr auto kLook = 200ms;  // for the end of service, between waits
-constexpr std::string_view kProgram = "ospreypost";
+constexpr auto kStopCheckInterval = 200ms;  // Maximum time until the listening thread notices stop().
+constexpr std::string_view kUserAgent = "ospreypost";
 
 unsigned status_of(const boost::system::error_code& error) {
   if (error == beast::error::body_limit) return 413;
@@ -22,7 +22,7 @@
 }
 
 template <typename Message>
-std::string written(const Message& message) {
+std::string to_text(const Message& message) {
   std::ostringstream text;
   text << message;
   return text.str();
@@ -30,40 +30,42 @@
 
 }  // namespace
 
-// False if the stream ended before the first byte.
+// Reads one message into `parser`. The first byte must arrive by `first_byte_deadline`, the whole message
+// within `message_timeout` after its first byte. Returns false if the stream ends before the first byte.
 template <typename Parser>
-bool Connection::read_into(Parser& parser, net::Deadline first, net::Steady::duration whole) {
+bool Connection::read_into(Parser& parser, net::Deadline first_byte_deadline,
+                           net::Steady::duration message_timeout) {
   std::array<char, 16384> buffer{};
-  auto until = first;
-  bool begun = false;
+  auto deadline = first_byte_deadline;
+  bool message_started = false;
   for (;;) {
-    // An empty line before a request is none of it.
-    if (!begun) early_.erase(0, early_.find_first_not_of("\r\n"));
-    if (!early_.empty()) {
-      if (!begun) until = net::Steady::now() + whole;
-      begun = true;
+    // Skips empty lines before a message: they are not a part of it.
+    if (!message_started) unparsed_.erase(0, unparsed_.find_first_not_of("\r\n"));
+    if (!unparsed_.empty()) {
+      if (!message_started) deadline = net::Steady::now() + message_timeout;
+      message_started = true;
       boost::system::error_code error;
-      const auto used = parser.put(boost::asio::buffer(early_), error);
-      early_.erase(0, used);
+      const auto parsed = parser.put(boost::asio::buffer(unparsed_), error);
+      unparsed_.erase(0, parsed);
       if (error && error != beast::error::need_more) throw RequestRejected(status_of(error), error.message());
       if (parser.is_done()) return true;
     }
-    std::size_t got = 0;
+    std::size_t received = 0;
     try {
-      got = net::read_some(socket_, buffer, until, interrupt_);
+      received = net::read_some(socket_, buffer, deadline, cancellation_);
     } catch (const net::Error& error) {
-      if (begun && net::Steady::now() >= until)
+      if (message_started && net::Steady::now() >= deadline)
         throw RequestRejected(408, "the message did not arrive in time");
       throw;
     }
-    if (got == 0) {
-      if (!begun) return false;
+    if (received == 0) {
+      if (!message_started) return false;
       boost::system::error_code error;
       parser.put_eof(error);
       if (!error && parser.is_done()) return true;
-      throw net::Error("the stream ended within a message");
+      throw net::Error("the stream ended in the middle of a message");
     }
-    early_.append(buffer.data(), got);
+    unparsed_.append(buffer.data(), received);
   }
 }
 
@@ -72,7 +74,7 @@
   parser.eager(true);
   parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
   parser.body_limit(limits.max_body_bytes);
-  if (!read_into(parser, net::Steady::now() + limits.idle, limits.whole)) return std::nullopt;
+  if (!read_into(parser, net::Steady::now() + limits.idle, limits.message_timeout)) return std::nullopt;
   auto message = parser.release();
   Request request;
   request.method = std::string(message.method_string());
@@ -84,12 +86,12 @@
   return request;
 }
 
-Response Connection::read_response(std::size_t max_body_bytes, net::Deadline until) {
+Response Connection::read_response(std::size_t max_body_bytes, net::Deadline deadline) {
   beast::response_parser<beast::string_body> parser;
   parser.eager(true);
   parser.body_limit(max_body_bytes);
-  if (!read_into(parser, until, until - net::Steady::now()))
-    throw net::Error("the peer closed without an answer");
+  if (!read_into(parser, deadline, deadline - net::Steady::now()))
+    throw net::Error("the peer closed the connection without a response");
   auto message = parser.release();
   Response response;
   response.status = message.result_int();
@@ -99,57 +101,60 @@
   return response;
 }
 
-void Connection::read_lines(std::size_t most_line_bytes, net::Steady::duration line,
-                            const std::function<net::Deadline()>& until,
-                            const std::function<void(std::string_view)>& take) {
+void Connection::read_lines(std::size_t max_line_bytes, net::Steady::duration line_timeout,
+                            const std::function<net::Deadline()>& current_deadline,
+                            const std::function<void(std::string_view)>& on_line) {
   beast::response_parser<beast::string_body> parser;
   parser.eager(true);
   parser.body_limit(boost::none);
   std::array<char, 16384> buffer{};
-  auto due = net::Steady::now() + line;
+  auto line_deadline = net::Steady::now() + line_timeout;
   while (!parser.is_done()) {
-    // A trickle of bytes is as silent as none: only whole lines tell anything. A flood ends by its size.
-    const auto got = net::read_some(socket_, buffer, std::min(due, until()), interrupt_);
-    if (got == 0) throw net::Error("the stream ended");
-    early_.append(buffer.data(), got);
+    // Only complete lines extend the deadline, so that a peer that sends single bytes is treated as silent. A
+    // peer that sends many bytes without a line end is stopped by `max_line_bytes`.
+    const auto received =
+        net::read_some(socket_, buffer, std::min(line_deadline, current_deadline()), cancellation_);
+    if (received == 0) throw net::Error("the stream ended");
+    unparsed_.append(buffer.data(), received);
     boost::system::error_code error;
-    for (std::size_t used = 1; used > 0 && !early_.empty() && !parser.is_done();) {
-      used = parser.put(boost::asio::buffer(early_), error);
-      early_.erase(0, used);
+    for (std::size_t used = 1; used > 0 && !unparsed_.empty() && !parser.is_done();) {
+      used = parser.put(boost::asio::buffer(unparsed_), error);
+      unparsed_.erase(0, used);
       if (error && error != beast::error::need_more) throw net::Error(error.message());
       if (error) break;
     }
-    if (early_.size() > most_line_bytes) throw net::Error("a chunk without an end");
+    if (unparsed_.size() > max_line_bytes)
+      throw net::Error("unparsed bytes exceed the maximum length of a line");
     if (!parser.is_header_done()) continue;
     if (parser.get().result_int() != 200)
-      throw net::Error("status " + std::to_string(parser.get().result_int()));
+      throw net::Error("expected status 200, received " + std::to_string(parser.get().result_int()));
     auto& body = parser.get().body();
-    std::size_t at = 0;
-    for (auto end = body.find('\n'); end != std::string::npos; end = body.find('\n', at)) {
-      take(std::string_view(body).substr(at, end - at));
-      at = end + 1;
-      due = net::Steady::now() + line;
+    std::size_t line_begin = 0;
+    for (auto end = body.find('\n'); end != std::string::npos; end = body.find('\n', line_begin)) {
+      on_line(std::string_view(body).substr(line_begin, end - line_begin));
+      line_begin = end + 1;
+      line_deadline = net::Steady::now() + line_timeout;
     }
-    body.erase(0, at);
-    if (body.size() > most_line_bytes) throw net::Error("a line without an end");
+    body.erase(0, line_begin);
+    if (body.size() > max_line_bytes) throw net::Error("a line exceeds the maximum length");
   }
 }
 
-void Connection::write(const Request& request, const std::string& host, net::Deadline until) {
+void Connection::write(const Request& request, const std::string& host, net::Deadline deadline) {
   beast::request<beast::string_body> message;
   message.method_string(request.method);
   message.target(request.target);
   message.version(11);
   message.set(beast::field::host, host);
-  message.set(beast::field::user_agent, boost::string_view(kProgram.data(), kProgram.size()));
+  message.set(beast::field::user_agent, boost::string_view(kUserAgent.data(), kUserAgent.size()));
   if (!request.content_type.empty()) message.set(beast::field::content_type, request.content_type);
   message.keep_alive(request.keep_alive);
   message.body() = request.body;
   message.prepare_payload();
-  net::write_fully(socket_, written(message), until, interrupt_);
+  net::write_fully(socket_, to_text(message), deadline, cancellation_);
 }
 
-void Connection::write(const Response& response, net::Deadline until) {
+void Connection::write(const Response& response, net::Deadline deadline) {
   beast::response<beast::string_body> message;
   message.result(response.status);
   message.version(11);
@@ -158,87 +163,87 @@
   message.keep_alive(response.keep_alive);
   message.body() = response.body;
   message.prepare_payload();
-  net::write_fully(socket_, written(message), until);
+  net::write_fully(socket_, to_text(message), deadline);
 }
 
-bool Connection::is_open() const { return early_.empty() && net::is_idle(socket_); }
+bool Connection::is_open() const { return unparsed_.empty() && net::is_idle(socket_); }
 
-Response fetch(const net::Address& address, const Request& request, net::Deadline until,
-               const net::CancellationEvent* interrupt) {
-  constexpr std::size_t most = std::size_t{64} << 20;
-  Connection connection(net::connect(address, until, interrupt), interrupt);
-  auto last = request;
-  last.keep_alive = false;
-  connection.write(last, address.text(), until);
-  return connection.read_response(most, until);
+Response fetch(const net::Address& address, const Request& request, net::Deadline deadline,
+               const net::CancellationEvent* cancellation) {
+  constexpr std::size_t max_body_bytes = std::size_t{64} << 20;
+  Connection connection(net::connect(address, deadline, cancellation), cancellation);
+  auto single_request = request;
+  single_request.keep_alive = false;
+  connection.write(single_request, address.text(), deadline);
+  return connection.read_response(max_body_bytes, deadline);
 }
 
 Server::Server(const std::string& name, const net::Address& address, const Limits& limits,
-               std::size_t connections, Handler handler, Complain complain)
+               std::size_t max_connections, Handler handler, ErrorHandler on_error)
     : limits_(limits),
       handler_(std::move(handler)),
-      complain_(std::move(complain)),
+      on_error_(std::move(on_error)),
       listener_(net::listen_tcp(address, 128)),
-      guests_(std::max<std::size_t>(1, connections / 2)),
-      crew_(name, connections, connections) {
-  listening_ = net::Thread(name, [this] { listen(); });
+      connection_limiter_(std::max<std::size_t>(1, max_connections / 2)),
+      workers_(name, max_connections, max_connections) {
+  listener_thread_ = net::Thread(name, [this] { accept_connections(); });
 }
 
 void Server::stop() {
   if (stopping_.exchange(true)) return;
-  guests_.close();
-  crew_.stop();
-  listening_.join();
+  connection_limiter_.close();
+  workers_.stop();
+  listener_thread_.join();
 }
 
-void Server::listen() {
+void Server::accept_connections() {
   while (!stopping_) {
     try {
-      auto accepted = net::accept(listener_, net::Steady::now() + kLook);
+      auto accepted = net::accept(listener_, net::Steady::now() + kStopCheckInterval);
       if (!accepted) continue;
       const auto socket = std::make_shared<net::Socket>(std::move(accepted->first));
       const auto host = accepted->second.host;
-      const bool admitted = guests_.admit(host);
-      const bool taken = admitted && crew_.take([this, socket, host] {
+      const bool admitted = connection_limiter_.admit(host);
+      const bool queued = admitted && workers_.take([this, socket, host] {
         serve(std::move(*socket));
-        guests_.release(host);
+        connection_limiter_.release(host);
       });
-      if (taken) continue;
-      if (admitted) guests_.release(host);
-      // Told at once rather than left to wait for a connection that nobody serves.
-      Connection refused(std::move(*socket));
-      refused.write(Response{503, "text/plain", "too many connections\n", 1, false},
-                    net::Steady::now() + 10ms);
+      if (queued) continue;
+      if (admitted) connection_limiter_.release(host);
+      // Rejects the connection at once, so that the client does not wait for a thread to become free.
+      Connection rejected_connection(std::move(*socket));
+      rejected_connection.write(Response{503, "text/plain", "too many connections\n", 1, false},
+                                net::Steady::now() + 10ms);
     } catch (const std::exception& error) {
-      complain_(error.what());
+      on_error_(error.what());
     }
   }
 }
 
 void Server::serve(net::Socket socket) {
   const int descriptor = socket.get();
-  if (!guests_.enter(descriptor)) return;
+  if (!connection_limiter_.enter(descriptor)) return;
   Connection connection(std::move(socket));
   try {
-    for (bool more = true; more && !stopping_;) {
+    for (bool keep_alive = true; keep_alive && !stopping_;) {
       Response response;
       try {
         const auto request = connection.read_request(limits_);
         if (!request) break;
         response = handler_(*request);
         response.keep_alive = response.keep_alive && request->keep_alive;
-      } catch (const RequestRejected& refused) {
-        response = {refused.status, "text/plain", std::string(refused.what()) + "\n", std::nullopt, false};
+      } catch (const RequestRejected& rejected) {
+        response = {rejected.status, "text/plain", std::string(rejected.what()) + "\n", std::nullopt, false};
       }
-      more = response.keep_alive;
-      connection.write(response, net::Steady::now() + limits_.whole);
+      keep_alive = response.keep_alive;
+      connection.write(response, net::Steady::now() + limits_.message_timeout);
     }
   } catch (const net::Error&) {
-    // A slow or broken peer costs its own connection only.
+    // A client that is too slow, or whose connection breaks, loses only its own connection.
   } catch (const std::exception& error) {
-    complain_(error.what());
+    on_error_(error.what());
   }
-  guests_.leave(descriptor);
+  connection_limiter_.leave(descriptor);
 }
 
 }  // namespace ospreypost::http
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 on blocking sockets with deadlines for whole messages; read and written by Boost.Beast.
+// HTTP/1.1 on blocking sockets, with deadlines for whole messages. Boost.Beast parses and writes the
+// messages.
 #pragma once
 
 #include <atomic>
@@ -26,84 +27,93 @@
   unsigned status = 200;
   std::string content_type = "application/json";
   std::string body;
-  std::optional<unsigned> retry_after;  // seconds
+  std::optional<unsigned> retry_after;  // Value of the Retry-After header in seconds; empty if omitted.
   bool keep_alive = true;
 };
 
 struct Limits {
   std::size_t max_header_bytes = 8192;
   std::size_t max_body_bytes = 1'000'000;
-  net::Steady::duration idle = std::chrono::seconds(5);   // for the first byte of a message
-  net::Steady::duration whole = std::chrono::seconds(3);  // for all of it, from its first byte
+  net::Steady::duration idle = std::chrono::seconds(5);  // Maximum wait for the first byte of a message.
+  // Maximum time from the first byte of a message to its last byte, and to write a response.
+  net::Steady::duration message_timeout = std::chrono::seconds(3);
 };
 
-// What is wrong with a request, and the status that says so.
+// Thrown for a request that cannot be read. `status` is the HTTP status of the response, what() its body.
 class RequestRejected : public net::Error {
  public:
   RequestRejected(unsigned status, const std::string& what) : net::Error(what), status(status) {}
   unsigned status;
 };
 
-// One side of a connection. Bytes that came too early wait for the next message.
+// One end of an HTTP connection. Bytes received after the end of a message are kept for the next message.
 class Connection {
  public:
-  // `interrupt` outlives it, and breaks its waits.
-  explicit Connection(net::Socket socket, const net::CancellationEvent* interrupt = nullptr)
-      : socket_(std::move(socket)), interrupt_(interrupt) {}
-  // Empty at an orderly end between messages. Throws Refused (400, 408, 413, 431) or net::Error.
+  // `cancellation` must outlive the connection. Setting the event cancels the waits of the connection.
+  explicit Connection(net::Socket socket, const net::CancellationEvent* cancellation = nullptr)
+      : socket_(std::move(socket)), cancellation_(cancellation) {}
+  // Reads a request. Returns an empty result if the client closes the connection before the first byte of a
+  // request. Throws RequestRejected with status 400, 408, 413 or 431 for a request that is malformed, too
+  // slow or too large, and net::Error if the connection is broken or idle.
   std::optional<Request> read_request(const Limits& limits);
-  // Throws net::Error at the deadline, a broken stream or a malformed answer.
-  Response read_response(std::size_t max_body_bytes, net::Deadline until);
-  // Reads an answer whose body goes on, and hands over each of its lines without its end, until the body
-  // ends. Throws net::Error when no line became whole within `line` of the one before it (the first: of the
-  // call), however many bytes of it came; when the line is too long, the status is not 200, or at the time
-  // that `until` gives, asked before each wait. What has arrived by then is read first.
-  void read_lines(std::size_t most_line_bytes, net::Steady::duration line,
-                  const std::function<net::Deadline()>& until,
-                  const std::function<void(std::string_view)>& take);
-  void write(const Request& request, const std::string& host, net::Deadline until);
-  void write(const Response& response, net::Deadline until);
+  // Reads a response.
+  // Throws net::Error at the deadline, when the connection is broken, or if the response is malformed.
+  Response read_response(std::size_t max_body_bytes, net::Deadline deadline);
+  // Reads a streamed response until its body ends, and calls `on_line` with each line of the body, without
+  // the line end. Throws net::Error when no line is completed within `line_timeout` of the previous line (of
+  // the call, for the first line), however many bytes of the line have arrived; when a line is too long; when
+  // the status is not 200; and at the time that `current_deadline` returns, which is called before each wait.
+  // Bytes that have arrived by that time are read first.
+  void read_lines(std::size_t max_line_bytes, net::Steady::duration line_timeout,
+                  const std::function<net::Deadline()>& current_deadline,
+                  const std::function<void(std::string_view)>& on_line);
+  void write(const Request& request, const std::string& host, net::Deadline deadline);
+  void write(const Response& response, net::Deadline deadline);
   const net::Socket& socket() const { return socket_; }
-  // False if the peer has closed it, or sent what nobody asked for.
+  // Returns whether the connection can be used for another request: the peer has neither closed the
+  // connection nor sent bytes that belong to no request.
   bool is_open() const;
 
  private:
   template <typename Parser>
-  bool read_into(Parser& parser, net::Deadline first, net::Steady::duration whole);
+  bool read_into(Parser& parser, net::Deadline first_byte_deadline, net::Steady::duration message_timeout);
 
   net::Socket socket_;
-  const net::CancellationEvent* interrupt_;
-  std::string early_;
+  const net::CancellationEvent* cancellation_;
+  std::string unparsed_;
 };
 
-// One request on a connection of its own. Throws net::Error.
-Response fetch(const net::Address& address, const Request& request, net::Deadline until,
-               const net::CancellationEvent* interrupt = nullptr);
+// Sends one request on a new connection and returns the response. Throws net::Error if the connection fails,
+// the response is malformed, or the response is not received by the deadline.
+Response fetch(const net::Address& address, const Request& request, net::Deadline deadline,
+               const net::CancellationEvent* cancellation = nullptr);
 
-// Serves a bounded number of connections at once, those of one address at most half of them.
+// An HTTP server. Serves a limited number of connections at once; one client address may have at most half of
+// them. Further connections are rejected with status 503.
 class Server {
  public:
   using Handler = std::function<Response(const Request&)>;
-  using Complain = std::function<void(const std::string&)>;
-  // The handler is called from several threads. Throws net::Error if the address cannot be had.
-  Server(const std::string& name, const net::Address& address, const Limits& limits, std::size_t connections,
-         Handler handler, Complain complain);
+  using ErrorHandler = std::function<void(const std::string&)>;
+  // `handler` is called from several threads at once. `on_error` receives errors of the listener and
+  // unexpected errors of a connection. Throws net::Error if the server cannot listen on the address.
+  Server(const std::string& name, const net::Address& address, const Limits& limits,
+         std::size_t max_connections, Handler handler, ErrorHandler on_error);
   ~Server() { stop(); }
   net::Address address() const { return net::local_address(listener_); }
   void stop();
 
  private:
-  void listen();
+  void accept_connections();
   void serve(net::Socket socket);
 
   const Limits limits_;
   const Handler handler_;
-  const Complain complain_;
+  const ErrorHandler on_error_;
   std::atomic<bool> stopping_ = false;
   net::Socket listener_;
-  net::ConnectionLimiter guests_;
-  net::ThreadPool crew_;
-  net::Thread listening_;
+  net::ConnectionLimiter connection_limiter_;
+  net::ThreadPool workers_;
+  net::Thread listener_thread_;
 };
 
 }  // namespace ospreypost::http
--- a/src/net/cancellation_event.cpp
+++ b/src/net/cancellation_event.cpp
@@ -10,17 +10,17 @@
 namespace ospreypost::net {
 
 CancellationEvent::CancellationEvent() : event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!event_) throw Error(std::string("eventfd: ") + std::strerror(errno));
+  if (!event_) throw Error(std::string("cannot create an eventfd: ") + std::strerror(errno));
 }
 
 void CancellationEvent::set() {
-  const std::uint64_t once = 1;
-  [[maybe_unused]] const auto put = ::write(event_.get(), &once, sizeof(once));
+  const std::uint64_t increment = 1;
+  [[maybe_unused]] const auto written = ::write(event_.get(), &increment, sizeof(increment));
 }
 
 void CancellationEvent::clear() {
-  std::uint64_t times = 0;
-  [[maybe_unused]] const auto got = ::read(event_.get(), &times, sizeof(times));
+  std::uint64_t counter = 0;
+  [[maybe_unused]] const auto read_bytes = ::read(event_.get(), &counter, sizeof(counter));
 }
 
 }  // namespace ospreypost::net
--- a/src/net/cancellation_event.h
+++ b/src/net/cancellation_event.h
@@ -1,4 +1,5 @@
-// Ends a wait from another thread, also one for a connection that is not up yet and has nothing to shut down.
+// Lets one thread cancel the socket waits of another thread. Also cancels the wait of a connect() call, whose
+// socket is not connected yet and therefore cannot be shut down.
 #pragma once
 
 #include "net/socket.h"
@@ -7,9 +8,10 @@
 
 class CancellationEvent {
  public:
-  // Throws Error if the system has no descriptor to give.
+  // Throws Error if the system cannot create the event descriptor.
   CancellationEvent();
-  // From any thread: all waits with it throw Error, until it is cleared.
+  // Makes all current waits with this event throw Error, and all later waits until clear() is called.
+  // May be called from any thread.
   void set();
   void clear();
   int descriptor() const { return event_.get(); }
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -13,13 +13,15 @@
 namespace ospreypost::net {
 namespace {
 
-constexpr std::uint64_t kWake = ~std::uint64_t{0};
+constexpr std::uint64_t kWakeKey = ~std::uint64_t{0};
 
-[[noreturn]] void fail(const std::string& what) { throw Error(what + ": " + std::strerror(errno)); }
+[[noreturn]] void throw_system_error(const std::string& context) {
+  throw Error(context + ": " + std::strerror(errno));
+}
 
-epoll_event event_of(std::uint64_t key, bool room) {
+epoll_event make_event(std::uint64_t key, bool write_interest) {
   epoll_event event{};
-  event.events = EPOLLIN | (room ? EPOLLOUT : 0u);
+  event.events = EPOLLIN | (write_interest ? EPOLLOUT : 0u);
   event.data.u64 = key;
   return event;
 }
@@ -27,40 +29,40 @@
 }  // namespace
 
 Poller::Poller() : poll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!poll_ || !wake_) fail("epoll");
-  add(wake_.get(), kWake);
+  if (!poll_ || !wake_) throw_system_error("cannot create an epoll instance");
+  add(wake_.get(), kWakeKey);
 }
 
 void Poller::add(int descriptor, std::uint64_t key) {
-  auto event = event_of(key, false);
-  if (::epoll_ctl(poll_.get(), EPOLL_CTL_ADD, descriptor, &event) != 0) fail("epoll_ctl");
+  auto event = make_event(key, false);
+  if (::epoll_ctl(poll_.get(), EPOLL_CTL_ADD, descriptor, &event) != 0) throw_system_error("epoll_ctl");
 }
 
-void Poller::set_write_interest(int descriptor, std::uint64_t key, bool wanted) {
-  auto event = event_of(key, wanted);
-  if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) fail("epoll_ctl");
+void Poller::set_write_interest(int descriptor, std::uint64_t key, bool enabled) {
+  auto event = make_event(key, enabled);
+  if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) throw_system_error("epoll_ctl");
 }
 
-void Poller::set_read_interest(int descriptor, std::uint64_t key, bool wanted) {
-  auto event = event_of(key, false);
-  if (!wanted) event.events = 0;
-  if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) fail("epoll_ctl");
+void Poller::set_read_interest(int descriptor, std::uint64_t key, bool enabled) {
+  auto event = make_event(key, false);
+  if (!enabled) event.events = 0;
+  if (::epoll_ctl(poll_.get(), EPOLL_CTL_MOD, descriptor, &event) != 0) throw_system_error("epoll_ctl");
 }
 
 void Poller::remove(int descriptor) { ::epoll_ctl(poll_.get(), EPOLL_CTL_DEL, descriptor, nullptr); }
 
-const std::vector<Poller::Ready>& Poller::wait(Deadline until) {
+const std::vector<Poller::Ready>& Poller::wait(Deadline deadline) {
   ready_.clear();
   std::array<epoll_event, 256> events;
-  const auto left = std::chrono::ceil<std::chrono::milliseconds>(until - Steady::now()).count();
+  const auto remaining_ms = std::chrono::ceil<std::chrono::milliseconds>(deadline - Steady::now()).count();
   const int count = ::epoll_wait(poll_.get(), events.data(), static_cast<int>(events.size()),
-                                 static_cast<int>(std::clamp<long long>(left, 0, 3'600'000)));
-  if (count < 0 && errno != EINTR) fail("epoll_wait");
-  for (int n = 0; n < count; ++n) {
-    const auto& event = events[static_cast<std::size_t>(n)];
-    if (event.data.u64 == kWake) {
-      std::uint64_t times = 0;
-      [[maybe_unused]] const auto got = ::read(wake_.get(), &times, sizeof(times));
+                                 static_cast<int>(std::clamp<long long>(remaining_ms, 0, 3'600'000)));
+  if (count < 0 && errno != EINTR) throw_system_error("epoll_wait");
+  for (int index = 0; index < count; ++index) {
+    const auto& event = events[static_cast<std::size_t>(index)];
+    if (event.data.u64 == kWakeKey) {
+      std::uint64_t counter = 0;
+      [[maybe_unused]] const auto read_bytes = ::read(wake_.get(), &counter, sizeof(counter));
       continue;
     }
     const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
@@ -71,22 +73,22 @@
 }
 
 void Poller::wake() {
-  const std::uint64_t once = 1;
-  [[maybe_unused]] const auto put = ::write(wake_.get(), &once, sizeof(once));
+  const std::uint64_t increment = 1;
+  [[maybe_unused]] const auto written = ::write(wake_.get(), &increment, sizeof(increment));
 }
 
-std::optional<std::size_t> read_now(const Socket& socket, std::span<char> into) {
-  const auto got = ::recv(socket.get(), into.data(), into.size(), MSG_DONTWAIT);
-  if (got >= 0) return static_cast<std::size_t>(got);
+std::optional<std::size_t> read_now(const Socket& socket, std::span<char> buffer) {
+  const auto received = ::recv(socket.get(), buffer.data(), buffer.size(), MSG_DONTWAIT);
+  if (received >= 0) return static_cast<std::size_t>(received);
   if (errno == EAGAIN || errno == EINTR) return std::nullopt;
-  fail("reading");
+  throw_system_error("cannot read from the socket");
 }
 
 std::size_t write_now(const Socket& socket, std::string_view bytes) {
-  const auto put = ::send(socket.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-  if (put >= 0) return static_cast<std::size_t>(put);
+  const auto sent = ::send(socket.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+  if (sent >= 0) return static_cast<std::size_t>(sent);
   if (errno == EAGAIN || errno == EINTR) return 0;
-  fail("writing");
+  throw_system_error("cannot write to the socket");
 }
 
 }  // namespace ospreypost::net
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-Thread::Thread(const std::string& name, std::function<void()> work, std::size_t stack) {
+Thread::Thread(const std::string& name, std::function<void()> work, std::size_t stack_bytes) {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, stack);
-  auto handed = std::make_unique<std::function<void()>>(std::move(work));
-  const int error = pthread_create(&handle_, &attributes, run, handed.get());
+  pthread_attr_setstacksize(&attributes, stack_bytes);
+  auto owned_work = std::make_unique<std::function<void()>>(std::move(work));
+  const int error = pthread_create(&handle_, &attributes, run, owned_work.get());
   pthread_attr_destroy(&attributes);
-  if (error != 0) throw Error("no thread for " + name + ": " + std::strerror(error));
-  [[maybe_unused]] const auto* const theirs = handed.release();
+  if (error != 0) throw Error("cannot create thread " + name + ": " + std::strerror(error));
+  [[maybe_unused]] const auto* const released = owned_work.release();
   joinable_ = true;
   pthread_setname_np(handle_, name.substr(0, 15).c_str());
 }
@@ -46,48 +46,48 @@
   if (std::exchange(joinable_, false)) pthread_join(handle_, nullptr);
 }
 
-ThreadPool::ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting,
-                       std::size_t stack)
-    : most_waiting_(most_waiting) {
+ThreadPool::ThreadPool(const std::string& name, std::size_t threads, std::size_t max_queued_jobs,
+                       std::size_t stack_bytes)
+    : max_queued_jobs_(max_queued_jobs) {
   try {
-    for (std::size_t n = 0; n < threads; ++n)
+    for (std::size_t index = 0; index < threads; ++index)
       threads_.emplace_back(
-          name, [this] { work(); }, stack);
+          name, [this] { run_jobs(); }, stack_bytes);
   } catch (...) {
-    // Those that were had would wait for work for ever, and whoever joins them with them.
+    // Stops the threads that were created; otherwise joining them would wait forever.
     stop();
     throw;
   }
 }
 
 bool ThreadPool::take(std::function<void()> job) {
-  const std::lock_guard held(lock_);
-  if (stopping_ || waiting_.size() >= most_waiting_) return false;
-  waiting_.push_back(std::move(job));
+  const std::lock_guard lock(mutex_);
+  if (stopping_ || queue_.size() >= max_queued_jobs_) return false;
+  queue_.push_back(std::move(job));
   changed_.notify_one();
   return true;
 }
 
 void ThreadPool::stop() {
   {
-    const std::lock_guard held(lock_);
+    const std::lock_guard lock(mutex_);
     stopping_ = true;
-    waiting_.clear();
+    queue_.clear();
   }
   changed_.notify_all();
   for (auto& thread : threads_) thread.join();
 }
 
-void ThreadPool::work() {
-  std::unique_lock held(lock_);
+void ThreadPool::run_jobs() {
+  std::unique_lock lock(mutex_);
   for (;;) {
-    changed_.wait(held, [this] { return stopping_ || !waiting_.empty(); });
+    changed_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
     if (stopping_) return;
-    const auto job = std::move(waiting_.front());
-    waiting_.pop_front();
-    held.unlock();
+    const auto job = std::move(queue_.front());
+    queue_.pop_front();
+    lock.unlock();
     job();
-    held.lock();
+    lock.lock();
   }
 }
 
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -1,4 +1,4 @@
-// Named threads with small, stated stacks, each with an owner that joins it.
+// Named threads with small stacks of a given size. Each thread has an owner that joins it.
 #pragma once
 
 #include <pthread.h>
@@ -13,14 +13,15 @@
 
 namespace ospreypost::net {
 
-inline constexpr std::size_t kSmallStack = 256 * 1024;  // bytes
+inline constexpr std::size_t kSmallStack = 256 * 1024;  // Default stack size in bytes.
 
-// Joined by its owner at the latest when it is destroyed.
+// A thread that is joined when its owner destroys this object, if join() was not called before.
 class Thread {
  public:
   Thread() = default;
-  // `name` is cut to the 15 characters that the system shows. Throws Error if no thread can be had.
-  Thread(const std::string& name, std::function<void()> work, std::size_t stack = kSmallStack);
+  // Starts a thread that runs `work`. Only the first 15 characters of `name` are used, as the system allows
+  // no more. Throws Error if the thread cannot be created.
+  Thread(const std::string& name, std::function<void()> work, std::size_t stack_bytes = kSmallStack);
   Thread(Thread&& other) noexcept;
   Thread& operator=(Thread&& other) noexcept;
   ~Thread() { join(); }
@@ -31,25 +32,25 @@
   bool joinable_ = false;
 };
 
-// A fixed number of threads that work off jobs; no more jobs wait than stated.
+// A fixed number of threads that run jobs from a queue of limited length.
 class ThreadPool {
  public:
-  // Throws Error if not all threads can be had.
-  ThreadPool(const std::string& name, std::size_t threads, std::size_t most_waiting,
-             std::size_t stack = kSmallStack);
+  // Throws Error if any of the threads cannot be created.
+  ThreadPool(const std::string& name, std::size_t threads, std::size_t max_queued_jobs,
+             std::size_t stack_bytes = kSmallStack);
   ~ThreadPool() { stop(); }
-  // False, and the job is not taken, when as many wait as may or the crew has stopped.
+  // Queues a job. Returns false, and does not queue the job, if the queue is full or stop() was called.
   bool take(std::function<void()> job);
-  // Drops what waits, ends when the jobs at work have.
+  // Drops the queued jobs, and returns when the running jobs have ended.
   void stop();
 
  private:
-  void work();
+  void run_jobs();
 
-  std::mutex lock_;
+  std::mutex mutex_;
   std::condition_variable changed_;
-  std::deque<std::function<void()>> waiting_;
-  const std::size_t most_waiting_;
+  std::deque<std::function<void()>> queue_;
+  const std::size_t max_queued_jobs_;
   bool stopping_ = false;
   std::vector<Thread> threads_;
 };
--- a/tests/program/discovery_test.cpp
+++ b/tests/program/discovery_test.cpp
@@ -1,4 +1,4 @@
-// What changes from one endpoint list to the next, and what a file of endpoints may hold.
+// Tests of the changes between two endpoint lists, of the parser of the endpoint file, and of the name table.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,15 +19,15 @@
 using namespace std::chrono_literals;
 
 Endpoint endpoint(const std::string& name, std::optional<WallTime> started = std::nullopt) {
-  Endpoint made;
-  made.name = name;
-  made.started = started;
-  return made;
+  Endpoint result;
+  result.name = name;
+  result.started = started;
+  return result;
 }
 
 WallTime wall(Nanos since_epoch) { return WallTime(since_epoch); }
 
-TEST(EndpointListTest, ReportsWhatDiffersFromTheListBefore) {
+TEST(EndpointListTest, ReportsTheChangesFromThePreviousList) {
   EndpointList list;
   EXPECT_TRUE(list.update(10s, wall(100s), {endpoint("b"), endpoint("a")}).is_first_list);
   auto draining = endpoint("a");
@@ -43,7 +43,7 @@
   EXPECT_EQ(update.changes[2].phase, EndpointPhase::ready);
 }
 
-TEST(EndpointListTest, KeepsTheLastGoodListWhenOneContradictsItself) {
+TEST(EndpointListTest, KeepsTheLastValidListWhenAnInvalidListArrives) {
   EndpointList list;
   list.update(10s, wall(100s), {endpoint("a")});
 
@@ -53,18 +53,18 @@
   EXPECT_TRUE(list.update(13s, wall(103s), {endpoint("a")}).changes.empty());
 }
 
-TEST(EndpointListTest, MakesNoRestartedEndpointLookWarmWhenTheWallClockJumps) {
+TEST(EndpointListTest, RestartedEndpointDoesNotAppearWarmWhenTheWallClockJumps) {
   EndpointList list;
   list.update(10s, wall(1000s), {endpoint("a", wall(400s))});
-  // Restarted between two readings, and the clock jumped an hour ahead meanwhile.
+  // The endpoint restarted between the two lists, and the wall clock jumped ahead by one hour.
   const auto update = list.update(12s, wall(4602s), {endpoint("a", wall(1001s))});
   ASSERT_EQ(update.changes.size(), 1U);
   EXPECT_EQ(update.changes[0].started, Nanos(10s));
-  // And a start in the future counts as now.
+  // A start time in the future counts as now.
   EXPECT_EQ(list.update(14s, wall(0s), {endpoint("a", wall(4610s))}).changes[0].started, Nanos(14s));
 }
 
-TEST(EndpointFileSourceTest, NamesWhatIsWrong) {
+TEST(EndpointFileSourceTest, ErrorsNameTheInvalidPart) {
   const auto config = test::small_config();
   const auto error_of = [&](const std::string& entry) {
     try {
@@ -77,27 +77,27 @@
   const std::string good = R"({"name":"a","zone":"east","address":"127.0.0.1:1"})";
   EXPECT_EQ(error_of(good), "none");
   EXPECT_EQ(error_of(R"({"name":"A.b","zone":"east","address":"127.0.0.1:1"})"),
-            "the endpoint file's name 'A.b' is no label of a DNS name");
+            "the endpoint file's name 'A.b' is not a valid label of a DNS name");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"moon","address":"127.0.0.1:1"})"),
             "the endpoint file's a: unknown zone 'moon'");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"nowhere"})"),
             "'nowhere' is not an address and a port");
   EXPECT_EQ(error_of(R"({"name":"a","zone":"east","address":"127.0.0.1:1","weight":0})"),
-            "the endpoint file's a: weight must be above 0");
-  EXPECT_EQ(error_of(good + ","), "the endpoint file is no JSON, or only half of one");
+            "the endpoint file's a: weight must be above 0 and at most 1000000");
+  EXPECT_EQ(error_of(good + ","), "the endpoint file is no JSON, or is incomplete");
 }
 
-TEST(EndpointFileSourceTest, ReadsAStartToTheMicrosecond) {
+TEST(EndpointFileSourceTest, ParsesAStartTimeToTheMicrosecond) {
   const auto endpoints = parse_endpoint_file(
       R"({"backends":[{"name":"a","zone":"east","address":"127.0.0.1:1","started":1764575432.250001}]})",
       test::small_config());
   ASSERT_EQ(endpoints.size(), 1U);
   EXPECT_EQ(endpoints[0].started, wall(1764575432250001us));
-  EXPECT_EQ(endpoints[0].cell, "east") << "the zone, where no cell is named";
+  EXPECT_EQ(endpoints[0].cell, "east") << "the cell defaults to the zone";
   EXPECT_EQ(endpoints[0].weight, 1);
 }
 
-TEST(NameTableTest, GivesEachNameOneIdInTheOrderInWhichTheyCame) {
+TEST(NameTableTest, AssignsEachNameOneIdInOrderOfFirstUse) {
   NameTable<ReplicaId> names;
   EXPECT_EQ(names.id_of("b"), ReplicaId{0});
   EXPECT_EQ(names.id_of("a"), ReplicaId{1});
--- a/tests/program/discovery_watcher_test.cpp
+++ b/tests/program/discovery_watcher_test.cpp
@@ -1,5 +1,6 @@
-/// The watch of discovery: the reading of lists, and events that can cross, each made to happen in the bad
-/// order by a scripted server on loopback. docs/notes/crossings.md has a row for each.
+/// Tests of the discovery watcher: the parser of endpoint lists, and events that can race.
+/// A scripted server on loopback makes each pair of racing events happen in the unfavourable order.
+/// docs/notes/crossings.md has a row for each race.
 #include "discovery/discovery_watcher.h"
 
 #include <gtest/gtest.h>
@@ -30,39 +31,44 @@
 using test::FakeDiscovery;
 using test::Words;
 
-constexpr auto kNever = 1h;  // longer than any test lives
+constexpr auto kNever = 1h;  // Longer than any test runs.
 constexpr std::uint64_t kRevision = 5;
 constexpr const char* kWatchAfterRevision = "/registry/instances?watch=1&after=5";
 
-// An address whose connections never come up: its queue is full, and it accepts none.
+// A listener whose connections are never established: its accept queue is full, and it accepts no connection
+// before open() is called.
 class FullListener {
  public:
   FullListener() : listener_(net::listen_tcp({"127.0.0.1", 0}, 0)) {
     try {
-      for (int n = 0; n < 2; ++n) waiting_.push_back(net::connect(address(), net::Steady::now() + 200ms));
+      for (int index = 0; index < 2; ++index)
+        queued_.push_back(net::connect(address(), net::Steady::now() + 200ms));
     } catch (const net::Error&) {
-      return;  // it is full
+      return;  // The accept queue is full.
     }
   }
   net::Address address() const { return net::local_address(listener_); }
-  void wait_until_dialled() const {
+  // Waits until a client has tried to connect.
+  void wait_for_connection_attempt() const {
     while (pending_connections().empty()) std::this_thread::yield();
   }
-  // Accepts the connections that fill the queue.
+  // Accepts the connections in the queue, so that further connections can be established.
   std::vector<net::Socket> open() {
     std::vector<net::Socket> accepted;
-    waiting_.clear();
+    queued_.clear();
     while (auto connection = net::accept(listener_, net::Steady::now()))
       accepted.push_back(std::move(connection->first));
     return accepted;
   }
+  // Accepts the next connection. Returns an empty socket if none arrives within 20 s.
   net::Socket next() const {
     auto accepted = net::accept(listener_, net::Steady::now() + 20s);
     return accepted ? std::move(accepted->first) : net::Socket();
   }
 
  private:
-  // The lines in the system's table of connections to here that were requested and got no answer.
+  // Returns the lines of the system's TCP table for connections to this listener that a client has requested
+  // and that are not established yet.
   Words pending_connections() const {
     constexpr const char* kSynSent = "02";
     std::array<char, 8> port{};
@@ -82,7 +88,7 @@
   }
 
   net::Socket listener_;
-  std::vector<net::Socket> waiting_;
+  std::vector<net::Socket> queued_;
 };
 
 class RecordingHandler : public EndpointListHandler {
@@ -105,39 +111,39 @@
  private:
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<std::uint64_t> revisions_;  // guarded by `mutex_`
+  std::vector<std::uint64_t> revisions_;  // Guarded by `mutex_`.
 };
 
 DiscoveryWatcher::Timeouts timeouts(net::Steady::duration connect, net::Steady::duration idle) {
-  DiscoveryWatcher::Timeouts made;
-  made.connect = connect;
-  made.idle = idle;
-  return made;
+  DiscoveryWatcher::Timeouts result;
+  result.connect = connect;
+  result.idle = idle;
+  return result;
 }
 
 struct DiscoveryWatcherTest : testing::Test {
   RecordingHandler handler;
 };
 
-// --- A connection that is not up yet
+// --- Events while a connection is being established
 
 TEST_F(DiscoveryWatcherTest, StopsWhileItConnects) {
   const FullListener full;
   DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
-  full.wait_until_dialled();
+  full.wait_for_connection_attempt();
   watcher.stop();
 }
 
 TEST_F(DiscoveryWatcherTest, MovesWhileItConnects) {
   const FullListener full;
   DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
-  full.wait_until_dialled();
+  full.wait_for_connection_attempt();
   FakeDiscovery other;
   watcher.move_to(net::Address::parse(other.address()));
   EXPECT_EQ(other.next_watch(), kWatchAfterRevision);
 }
 
-// The first bytes of the request that gets through first, up to the end of its line at least.
+// Returns the first request that a client sends to the listener, at least up to the end of its first line.
 std::string receive_request(const FullListener& listener) {
   std::string request;
   auto socket = listener.next();
@@ -150,10 +156,10 @@
   return request;
 }
 
-TEST_F(DiscoveryWatcherTest, RequestsTheCompleteListThoughARefreshCameWhileItConnects) {
+TEST_F(DiscoveryWatcherTest, RequestsTheCompleteListAfterARefreshWhileItConnects) {
   FullListener full;
   DiscoveryWatcher watcher(full.address(), kRevision, handler, timeouts(kNever, kNever));
-  full.wait_until_dialled();
+  full.wait_for_connection_attempt();
   watcher.refresh();
   const auto accepted = full.open();
   const auto request = receive_request(full);
@@ -164,18 +170,18 @@
   const FullListener first;
   const FullListener second;
   DiscoveryWatcher watcher(first.address(), kRevision, handler, timeouts(kNever, kNever));
-  first.wait_until_dialled();
+  first.wait_for_connection_attempt();
   watcher.move_to(second.address());
-  second.wait_until_dialled();
+  second.wait_for_connection_attempt();
   FakeDiscovery third;
   watcher.move_to(net::Address::parse(third.address()));
   EXPECT_EQ(third.next_watch(), kWatchAfterRevision);
   watcher.stop();
 }
 
-// --- Bytes that come, and no line
+// --- Bytes that do not complete a line
 
-TEST_F(DiscoveryWatcherTest, DialsAgainAfterHalfALineAndSilence) {
+TEST_F(DiscoveryWatcherTest, ReconnectsAfterHalfALineAndSilence) {
   FakeDiscovery discovery;
   const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), kRevision, handler,
                                  timeouts(10s, 100ms));
@@ -184,9 +190,9 @@
   EXPECT_EQ(discovery.next_watch(), kWatchAfterRevision);
 }
 
-// Sends a byte whenever the last one is on its way, so that none is ever waited for. Whether the other side
-// ended the watch within 8 KiB.
-bool is_left_during_trickle(FakeDiscovery& discovery, const std::string& head) {
+// Sends `head` and then up to 8000 single bytes, one per millisecond, so that the reader never waits long for
+// a byte. Returns whether the watcher closed the connection before all bytes were sent.
+bool closes_connection_during_trickle(FakeDiscovery& discovery, const std::string& head) {
   try {
     discovery.write(head);
     for (std::size_t written = 0; written < 8000; ++written) {
@@ -206,20 +212,20 @@
     const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), kRevision, handler,
                                    timeouts(10s, 200ms));
     discovery.next_request();
-    EXPECT_TRUE(is_left_during_trickle(discovery, head)) << "before the line or the header ended";
+    EXPECT_TRUE(closes_connection_during_trickle(discovery, head)) << "before the line or the header ended";
   }
 }
 
-TEST_F(DiscoveryWatcherTest, DialsAgainAfterSilence) {
+TEST_F(DiscoveryWatcherTest, ReconnectsAfterSilence) {
   FakeDiscovery discovery;
   const DiscoveryWatcher watcher(net::Address::parse(discovery.address()), kRevision, handler, {1s, 50ms});
   EXPECT_EQ(discovery.next_watch(), kWatchAfterRevision);
-  EXPECT_EQ(discovery.next_watch(), kWatchAfterRevision) << "nothing came on the first";
+  EXPECT_EQ(discovery.next_watch(), kWatchAfterRevision) << "no line arrived on the first watch";
 }
 
-// --- Lists
+// --- Endpoint lists
 
-TEST_F(DiscoveryWatcherTest, StartsOverWithAServerThatStaysBehind) {
+TEST_F(DiscoveryWatcherTest, AcceptsAnOlderCompleteListFromAServerThatStaysBehind) {
   FakeDiscovery discovery;
   auto short_timeouts = timeouts(10s, 10s);
   short_timeouts.stale = 50ms;
@@ -231,16 +237,17 @@
   EXPECT_EQ(discovery.next_watch(), "/registry/instances?watch=1");
   discovery.send_line(endpoint_list(8, true, endpoint_entry("a")));
   EXPECT_TRUE(handler.wait_for(8));
-  EXPECT_EQ(handler.revisions(), std::vector<std::uint64_t>{8}) << "and not before";
+  EXPECT_EQ(handler.revisions(), std::vector<std::uint64_t>{8})
+      << "the list of revision 7 must not be accepted";
 }
 
-TEST(EndpointListUpdateTest, RejectsWhatIsNoList) {
+TEST(EndpointListUpdateTest, RejectsTextThatIsNotAList) {
   for (const std::string text : {"", "[]", "{", R"({"revision":-1,"complete":true,"members":[]})",
                                  R"({"revision":1,"members":[]})", R"({"revision":1,"complete":true})"})
     EXPECT_THROW(parse_endpoint_list_update(text), net::Error) << text;
 }
 
-TEST(EndpointListUpdateTest, ParsesTheEntriesAroundThoseThatCannotBeRead) {
+TEST(EndpointListUpdateTest, ParsesTheValidEntriesAroundInvalidEntries) {
   const auto list = parse_endpoint_list_update(
       endpoint_list(1, true,
                     endpoint_entry("a") + R"(,{"id":7},)" + endpoint_entry("b", "DANCING") + "," +
