--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -39,7 +39,7 @@
   auto deadline = first_byte_deadline;
   bool message_started = false;
   for (;;) {
-    // Skips empty lines before a message: they are not a part of it.
+    // Skips empty lines before a message, which are not a part of the message.
     if (!message_started) unparsed_.erase(0, unparsed_.find_first_not_of("\r\n"));
     if (!unparsed_.empty()) {
       if (!message_started) deadline = net::Steady::now() + message_timeout;
--- a/tests/program/http_test.cpp
+++ b/tests/program/http_test.cpp
@@ -1,5 +1,5 @@
-// Tests of HTTP requests that are too long, too slow or malformed, and of the limits of server and thread
-// pool.
+// Tests of HTTP requests that are too long, too slow or malformed, of the connection limit of the server, and
+// of a thread pool whose threads cannot be created.
 #include "http/http.h"
 
 #include <gtest/gtest.h>
