--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -42,12 +42,12 @@
   return text;
 }
 
-Rr empty_rr(const std::string& owner, std::uint32_t lifetime, ldns_rr_type type) {
+Rr empty_rr(const std::string& owner, std::uint32_t ttl, ldns_rr_type type) {
   Rr rr(ldns_rr_new());
   ldns_rr_set_owner(rr.get(), name_of(owner).release());
   ldns_rr_set_type(rr.get(), type);
   ldns_rr_set_class(rr.get(), LDNS_RR_CLASS_IN);
-  ldns_rr_set_ttl(rr.get(), lifetime);
+  ldns_rr_set_ttl(rr.get(), ttl);
   return rr;
 }
 
@@ -60,10 +60,10 @@
 
 struct Writer {
   const std::string& owner;
-  const std::uint32_t lifetime;
+  const std::uint32_t ttl;
 
   Rr operator()(const net::Address& address) const {
-    auto rr = empty_rr(owner, lifetime, address.is_v6() ? LDNS_RR_TYPE_AAAA : LDNS_RR_TYPE_A);
+    auto rr = empty_rr(owner, ttl, address.is_v6() ? LDNS_RR_TYPE_AAAA : LDNS_RR_TYPE_A);
     std::uint8_t bytes[16] = {};
     inet_pton(address.is_v6() ? AF_INET6 : AF_INET, address.host.c_str(), bytes);
     const auto type = address.is_v6() ? LDNS_RDF_TYPE_AAAA : LDNS_RDF_TYPE_A;
@@ -71,7 +71,7 @@
     return rr;
   }
   Rr operator()(const Srv& srv) const {
-    auto rr = empty_rr(owner, lifetime, LDNS_RR_TYPE_SRV);
+    auto rr = empty_rr(owner, ttl, LDNS_RR_TYPE_SRV);
     push_short(rr.get(), srv.priority);
     push_short(rr.get(), srv.weight);
     push_short(rr.get(), srv.port);
@@ -79,7 +79,7 @@
     return rr;
   }
   Rr operator()(const Txt& txt) const {
-    auto rr = empty_rr(owner, lifetime, LDNS_RR_TYPE_TXT);
+    auto rr = empty_rr(owner, ttl, LDNS_RR_TYPE_TXT);
     for (const auto& string : txt.strings) {
       if (string.size() > 255) throw net::Error("a text of more than 255 bytes");
       std::string bytes(1, static_cast<char>(string.size()));
@@ -89,7 +89,7 @@
     return rr;
   }
   Rr operator()(const Soa& soa) const {
-    auto rr = empty_rr(owner, lifetime, LDNS_RR_TYPE_SOA);
+    auto rr = empty_rr(owner, ttl, LDNS_RR_TYPE_SOA);
     ldns_rr_push_rdf(rr.get(), name_of(soa.server).release());
     ldns_rr_push_rdf(rr.get(), name_of(soa.contact).release());
     push_number(rr.get(), soa.serial, LDNS_RDF_TYPE_INT32);
@@ -98,7 +98,7 @@
     return rr;
   }
   Rr operator()(const Ns& ns) const {
-    auto rr = empty_rr(owner, lifetime, LDNS_RR_TYPE_NS);
+    auto rr = empty_rr(owner, ttl, LDNS_RR_TYPE_NS);
     ldns_rr_push_rdf(rr.get(), name_of(ns.server).release());
     return rr;
   }
@@ -107,7 +107,7 @@
 void push(ldns_pkt* packet, ldns_pkt_section section, std::span<const Record> records) {
   for (const auto& record : records) {
     ldns_pkt_push_rr(packet, section,
-                     std::visit(Writer{record.owner, record.lifetime}, record.data).release());
+                     std::visit(Writer{record.owner, record.ttl}, record.data).release());
   }
 }
 
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -57,7 +57,7 @@
 // An address: A or AAAA by its family.
 struct Record {
   std::string owner;
-  std::uint32_t lifetime = 0;  // seconds
+  std::uint32_t ttl = 0;  // seconds
   std::variant<net::Address, Srv, Txt, Soa, Ns> data;
 };
 
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "dns/weights.h"
+#include "dns/srv_weights.h"
 
 namespace ospreypost::dns {
 namespace {
--- a/src/dns/weights.cpp
+++ b/src/dns/srv_weights.cpp
@@ -1,4 +1,4 @@
-#include "dns/weights.h"
+#include "dns/srv_weights.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fakes/resolver.cpp
+++ b/src/fakes/resolver.cpp
@@ -60,7 +60,7 @@
   std::uint32_t seconds = 1;
   try {
     const auto read = dns::read_answer(answer);
-    if (!read.answers.empty()) seconds = read.answers.front().lifetime;
+    if (!read.answers.empty()) seconds = read.answers.front().ttl;
     if (read.code == dns::Code::server_failure) seconds = 0;
   } catch (const net::Error&) {
     seconds = 0;
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -40,7 +40,7 @@
 ospreypost_package(resp resp.cpp)
 ospreypost_package(load_reports report_spans.cpp otlp_metrics.cpp load_report_processor.cpp
   NEEDS ospreypost_config nlohmann_json::nlohmann_json)
-ospreypost_package(dns weights.cpp message.cpp name_index.cpp rate_limit.cpp answer_cache.cpp responder.cpp server.cpp
+ospreypost_package(dns srv_weights.cpp message.cpp name_index.cpp rate_limit.cpp answer_cache.cpp responder.cpp server.cpp
   NEEDS ospreypost_routing_state ospreypost_config PkgConfig::LDNS)
 ospreypost_package(files render.cpp generation.cpp generation_store.cpp receiver.cpp pusher.cpp
   NEEDS ospreypost_http ospreypost_config ospreypost_routing_state nlohmann_json::nlohmann_json PkgConfig::XXHASH)
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -7,7 +7,7 @@
 
 #include "dns/rate_limit.h"
 #include "dns/server.h"
-#include "dns/weights.h"
+#include "dns/srv_weights.h"
 #include "fakes/stub.h"
 #include "program/support.h"
 
@@ -104,7 +104,7 @@
   EXPECT_EQ(first.port, 9000);
   EXPECT_EQ(first.weight, 21845);
   EXPECT_EQ(std::get<Srv>(answer.answers[1].data).weight, 43690);
-  EXPECT_EQ(answer.answers[0].lifetime, 2U);
+  EXPECT_EQ(answer.answers[0].ttl, 2U);
   ASSERT_EQ(answer.additional.size(), 3U);
   EXPECT_EQ(std::get<Txt>(answer.additional[0].data).strings,
             (std::vector<std::string>{"txtvers=1", "version=5", "level=1.0000", "retry=after-proof"}));
@@ -165,7 +165,7 @@
   scene.core.hold(3);
   EXPECT_EQ(scene.ask(kName).answers.size(), 3U);
   scene.core.told.ttl_decision.ttl = dns::Ttl{1};
-  EXPECT_EQ(scene.ask(kName).answers[0].lifetime, 1U);
+  EXPECT_EQ(scene.ask(kName).answers[0].ttl, 1U);
   scene.core.told.ttl_decision.service = dns::ClientService::proxies;
   EXPECT_TRUE(scene.ask(kName).answers.empty());
   scene.core.told.ttl_decision.service = dns::ClientService::replicas;
