--- a/src/delivery/pull_service.h
+++ b/src/delivery/pull_service.h
@@ -1,5 +1,5 @@
-/// What an edge that answers queries requests from the control plane, and gets. Such an edge translates and
-/// decides nothing.
+/// Interface between the control plane and a server, such as the DNS server, that answers the queries of
+/// proxies. The server only translates; the control plane makes all decisions.
 #pragma once
 
 #include <memory>
@@ -11,13 +11,14 @@
 
 namespace ospreypost::delivery {
 
-/// What a query is to be answered with.
+/// Content of the answer to a query.
 struct PullAnswer {
   dns::TtlDecision ttl_decision;
-  std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;  ///< null: nothing can be answered now
-  std::shared_ptr<const EndpointDirectory> directory;                  ///< never null
-  /// For clients that are answered with proxies: those that have joined. For a zone's query, that zone's
-  /// first.
+  /// Configuration of the proxy; null if no configuration can be given now.
+  std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;
+  std::shared_ptr<const EndpointDirectory> directory;  ///< directory of the replicas; never null
+  /// Joined proxies, for clients that are answered with proxies in place of replicas. In the answer to a
+  /// query for a zone, the proxies of that zone come first.
   std::vector<FallbackProxy> fallback_proxies;
 };
 
@@ -25,13 +26,13 @@
 class PullService {
  public:
   virtual ~PullService() = default;
-  /// A proxy queries its table of a class.
+  /// Answers the query of a proxy for its routing table of a request class.
   virtual PullAnswer on_query(ProxyId proxy, ClassId cls) = 0;
-  /// A client queries the fallback proxies of a zone.
+  /// Answers the query of a client for the fallback proxies of a zone.
   virtual PullAnswer on_zone_query(ZoneId zone) = 0;
-  /// Never null.
+  /// Returns the current directory of replicas; never null.
   virtual std::shared_ptr<const EndpointDirectory> directory() const = 0;
-  /// Of the newest snapshot.
+  /// Returns the version of the newest snapshot.
   virtual routing_state::SnapshotVersion version() const = 0;
 };
 
--- a/src/routing_state/lease_table.h
+++ b/src/routing_state/lease_table.h
@@ -1,12 +1,14 @@
-/// Which proxies this process may push tables to, and by which epoch. Free of I/O.
+/// The lease table records to which proxies this process may push tables, and with which epoch. Free of I/O.
 ///
-/// Whoever stores a proxy's tables rejects a table with a lower epoch than the one it holds, or with the same
-/// epoch from another process. So of two processes that push to a proxy one wins, in whatever order their
-/// messages arrive; the other learns it with its next push or liveness check, and gives the proxy up.
+/// The receiver that stores a proxy's tables rejects a table whose epoch is lower than that of the stored
+/// table, and a table with the same epoch from another process. If two processes push to one proxy, exactly
+/// one of them wins, regardless of the order in which their messages arrive. The other process learns that it
+/// lost from its next push or liveness check, and stops pushing to the proxy.
 ///
-/// A process claims a proxy when it first observes it, above the epoch found there: the process that was
-/// started last is the one that the operators mean, even if the wall clock went back between two starts.
-/// After that it claims a proxy again only if the lease of the table found there has expired.
+/// A process claims a proxy when it first observes the proxy, with an epoch above the stored one: the process
+/// that was started last is the one that the operators intend to use, even if the wall clock went back
+/// between two starts. Later, the process claims the proxy again only if the lease of the stored table has
+/// expired.
 #pragma once
 
 #include <cstdint>
@@ -19,40 +21,41 @@
 
 namespace ospreypost::routing_state {
 
-/// The table that a proxy holds, as its receiver reports it.
+/// State of the table that a proxy has stored, as the proxy's receiver reports it.
 struct RemoteState {
-  bool has_table = false;  ///< the other fields say nothing without one
+  bool has_table = false;  ///< if false, the other fields have no meaning
   std::uint64_t epoch = 0;
   SnapshotVersion version{};
-  std::string owner;           ///< the process that pushed it
-  bool lease_expired = false;  ///< the owner has sent nothing within the lease
-  /// After a rollback by hand: the names of the replicas that the proxy uses in place of the newest table's.
+  std::string owner;           ///< identifies the process that pushed the stored table
+  bool lease_expired = false;  ///< `owner` has sent the proxy nothing for the duration of the lease
+  /// After an operator rolled the proxy back: names of the replicas that the proxy uses in place of those in
+  /// the newest table. Empty without a rollback.
   std::vector<std::string> rolled_back_to;
 };
 
-/// Not synchronised: the owner calls it under a lock.
+/// Not thread-safe: callers must hold a lock.
 class LeaseTable {
  public:
-  /// `first_epoch`: the lowest epoch of a first claim; `owner`: identifies this process among all.
+  /// `first_epoch`: lowest epoch of the first claim on a proxy. `owner`: unique name of this process.
   LeaseTable(std::uint64_t first_epoch, std::string owner)
       : first_epoch_(first_epoch), owner_(std::move(owner)) {}
 
-  /// Who may push to a proxy.
+  /// Which process may push tables to a proxy.
   enum class Ownership {
-    ours,     ///< this process, as before
-    claimed,  ///< this process from now on; the table found there is not of this claim
-    theirs,   ///< another process
+    ours,     ///< this process owns the proxy by an earlier claim
+    claimed,  ///< this process has now claimed the proxy; the stored table is from before the claim
+    theirs,   ///< another process owns the proxy
   };
-  /// Decides by what the proxy reports, and claims it if it may be claimed.
+  /// Decides from the proxy's reported state which process owns the proxy, and claims the proxy if allowed.
   Ownership observe(ProxyId proxy, const RemoteState& remote);
-  /// The epoch to push with; 0 before the first claim.
+  /// Epoch of the pushes to the proxy; 0 before the first claim.
   std::uint64_t epoch(ProxyId proxy) const;
   const std::string& owner() const { return owner_; }
 
  private:
   const std::uint64_t first_epoch_;
   const std::string owner_;
-  std::map<ProxyId, std::uint64_t> epochs_;  // of the proxies observed
+  std::map<ProxyId, std::uint64_t> epochs_;  // own epoch for each observed proxy
 };
 
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/pull_delivery.cpp
+++ b/src/routing_state/pull_delivery.cpp
@@ -57,8 +57,7 @@
 
 bool PullDelivery::has_reached(const Proxy& proxy, SnapshotVersion version) {
   if (!proxy.answered) return false;
-  // With nothing newer waiting for it, a proxy is up to date even where its snapshot is older than the
-  // version.
+  // A proxy without pending changes is up to date even if its snapshot is older than the requested version.
   return proxy.answered == proxy.latest || version <= proxy.answered->changed_in;
 }
 
--- a/src/routing_state/push_scheduler.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -10,12 +10,14 @@
 
 using namespace std::chrono_literals;
 
-// The backoff after a failed push doubles from the minimum up to the maximum.
+// The backoff after a failed push doubles with each failure, from kMinBackoff up to the maximum:
+// kMaxUrgentBackoff while an urgent change is pending, otherwise kMaxBackoff.
 constexpr Nanos kMinBackoff = 50ms;
 constexpr Nanos kMaxBackoff = 1s;
 constexpr Nanos kMaxUrgentBackoff = 200ms;
 constexpr Nanos kTokenCheckInterval = 50ms;
-/// A new process may send its first message to a proxy of unknown history within this part of the timeout.
+/// A new process may send its first message to a proxy with an unknown message history after at most
+/// urgent_change_timeout / kFirstMessageTimeoutDivisor.
 constexpr int kFirstMessageTimeoutDivisor = 3;
 
 Nanos nanos(double seconds) { return Nanos(std::llround(seconds * 1e9)); }
@@ -34,8 +36,8 @@
 void PushScheduler::on_joined(Nanos now, ProxyId id, bool has_no_table) {
   Proxy& proxy = proxies_.at(id);
   proxy.queue.clear(counts_);
-  // A proxy with a table was sent messages by somebody: by this process before it lost the proxy, by another
-  // one, or by an earlier incarnation.
+  // A proxy with a table has been sent messages before: by this process before the proxy was lost, by another
+  // process, or by an earlier incarnation of this process.
   const Nanos first_message_within = limits_.urgent_change_timeout / kFirstMessageTimeoutDivisor;
   const TokenBucketLimiter::Bucket bucket =
       has_no_table ? proxy.bucket : limiter_.bucket_of_unknown_history(now, first_message_within);
@@ -49,12 +51,12 @@
 
 bool PushScheduler::on_liveness(Nanos now, ProxyId id, std::optional<SnapshotVersion> version) {
   const Proxy& proxy = proxies_.at(id);
-  const auto holds = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
+  const auto has_stored = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
     return version ? proxy_snapshot && proxy_snapshot->changed_in == *version : !proxy_snapshot;
   };
-  // Until the first push, the proxy may hold whatever it came with.
+  // Until this process has sent its first push, the proxy may have any stored table.
   const bool was_sent_nothing = !proxy.confirmed && !proxy.sent;
-  if (proxy.joined && (was_sent_nothing || holds(proxy.confirmed) || holds(proxy.sent))) {
+  if (proxy.joined && (was_sent_nothing || has_stored(proxy.confirmed) || has_stored(proxy.sent))) {
     on_confirmed(now, id, {});
     return false;
   }
@@ -62,7 +64,8 @@
   return true;
 }
 
-// A change is urgent from when it is made until it is confirmed or taken back.
+// Updates the time since which the proxy has an urgent change. A change is urgent from its publication until
+// the change is confirmed or reverted.
 void PushScheduler::update_urgency(Nanos now, Proxy& proxy) {
   const bool confirmed_is_unsafe =
       proxy.confirmed ? requires_urgent_update(*proxy.confirmed, *proxy.latest) : !proxy.has_no_table;
@@ -77,7 +80,7 @@
 void PushScheduler::on_rollback(Nanos now, ProxyId id, std::set<ReplicaId> rolled_back_to) {
   Proxy& proxy = proxies_.at(id);
   if (!proxy.joined || !proxy.latest) return;
-  // Whoever rolled it back has sent the proxy a message.
+  // The operator's rollback was itself a message to the proxy, so it counts against the message limit.
   const bool is_new = !rolled_back_to.empty() && rolled_back_to != proxy.rolled_back_to;
   if (is_new) TokenBucketLimiter::take(proxy.bucket);
   proxy.rolled_back_to = std::move(rolled_back_to);
@@ -106,7 +109,7 @@
   proxy.queue.add(entries, *proxy.latest, limits_.message_overhead_entries, counts_);
   const bool was_urgent = proxy.urgent_since.has_value();
   update_urgency(now, proxy);
-  // An urgent change does not wait for the backoff of an earlier failure.
+  // A change that becomes urgent does not wait for the backoff of an earlier failed push.
   const bool becomes_urgent = proxy.urgent_since && !was_urgent;
   if (becomes_urgent) proxy.not_before = std::min(proxy.not_before, now);
 }
@@ -122,21 +125,22 @@
   return proxy.urgent_since ? Priority::urgent_change : Priority::normal_change;
 }
 
-// Whether a table push must wait for the channel or for a token.
+// Whether a table push must wait for the channel or for a token of the message limit.
 bool PushScheduler::must_wait(Nanos now, Proxy& proxy, Priority priority) const {
   if (priority == Priority::liveness_check) return false;
   if (priority != Priority::urgent_change && now < channel_free_at_) return true;
-  // What was sent before and may have arrived is not a new message.
+  // A retry of a push that may already have arrived does not count as a new message.
   const bool is_retry = proxy.sent == proxy.latest && !proxy.rollback_is_unsafe;
   if (is_retry) return false;
   return !limiter_.may_send(now, proxy.bucket, priority != Priority::normal_change);
 }
 
-// Empty if nothing may be sent to the proxy now.
+// Returns the rank of the proxy's next push; empty if nothing may be sent to the proxy now.
 std::optional<PushScheduler::Rank> PushScheduler::rank_of(Nanos now, Proxy& proxy) const {
   if (proxy.in_flight || now < proxy.not_before) return std::nullopt;
   Priority priority = priority_of(proxy);
-  // The lease of the proxy's table runs out while a change waits, so it gets liveness checks like any other.
+  // The lease of the proxy's table must not expire while a change is pending, so the proxy still gets
+  // liveness checks.
   if (must_wait(now, proxy, priority)) priority = Priority::liveness_check;
   const bool liveness_check_is_due = now >= proxy.last_response + limits_.liveness_interval;
   if (priority == Priority::liveness_check && proxy.joined && !liveness_check_is_due) return std::nullopt;
@@ -176,13 +180,13 @@
 }
 
 std::optional<Nanos> PushScheduler::next_wake_up(Nanos now) const {
-  std::optional<Nanos> first;
+  std::optional<Nanos> earliest;
   for (const auto& [id, proxy] : proxies_) {
     if (proxy.in_flight) continue;
     const Nanos wake_up = wake_up_of(now, proxy);
-    first = first ? std::min(*first, wake_up) : wake_up;
+    earliest = earliest ? std::min(*earliest, wake_up) : wake_up;
   }
-  return first;
+  return earliest;
 }
 
 Nanos PushScheduler::wake_up_of(Nanos now, const Proxy& proxy) const {
@@ -193,7 +197,7 @@
     wake_up = std::max(wake_up, proxy.last_response + limits_.liveness_interval);
   }
   if (has_change && !is_urgent) wake_up = std::max(wake_up, channel_free_at_);
-  // If nothing else holds it up, it waits for a token.
+  // A push that is not delayed for any other reason waits for a token.
   return wake_up <= now ? now + kTokenCheckInterval : wake_up;
 }
 
@@ -205,7 +209,7 @@
   proxy.last_response = now;
   proxy.backoff = Nanos{};
   proxy.not_before = now;
-  // A late or repeated confirmation of an older push shows that the proxy is alive, and no more.
+  // A late or repeated confirmation of an older push shows only that the proxy is alive.
   if (!proxy.sent || proxy.sent->changed_in != version) return;
   proxy.confirmed = proxy.sent;
   proxy.rolled_back_to.clear();
@@ -239,7 +243,7 @@
   if (!proxy.joined) return false;
   const Nanos timeout = limits_.urgent_change_timeout;
   const bool is_overdue = proxy.urgent_since && now >= *proxy.urgent_since + timeout;
-  // A silent proxy is lost even while no change is urgent, as none could be brought to it in time.
+  // A silent proxy is lost even if no change is urgent, because an urgent change could not reach it in time.
   const bool is_silent = now >= proxy.last_response + timeout + 2 * limits_.liveness_interval;
   return is_overdue || is_silent;
 }
--- a/src/routing_state/push_scheduler.h
+++ b/src/routing_state/push_scheduler.h
@@ -1,9 +1,10 @@
-/// When each proxy that tables are pushed to is sent what, the most urgent first, and which proxies are given
-/// up on. Free of I/O.
+/// The push scheduler decides which proxy is sent which table update next, the most urgent update first, and
+/// when a proxy counts as lost. Free of I/O.
 ///
-/// One push to a proxy is in flight at a time; changes that are made meanwhile are merged into the next. A
-/// failed push is retried after a backoff that doubles. A proxy that has not confirmed an urgent change, such
-/// as an ejection, within its timeout is lost: it counts as having left until it joins again.
+/// At most one push to a proxy is in flight at a time; changes that are made during a push are merged into
+/// the next push. A failed push is retried after a backoff that doubles with each failure. A proxy that does
+/// not confirm an urgent change, such as an ejection, within the timeout is lost: the proxy counts as having
+/// left until it joins again.
 #pragma once
 
 #include <cstddef>
@@ -20,72 +21,76 @@
 
 namespace ospreypost::routing_state {
 
-/// What the channel to the proxies can carry, and how long it may take.
+/// Capacity of the channel to the proxies, and its timeouts.
 struct PushLimits {
-  double message_overhead_entries = 0;      ///< that each message costs beyond its own entries
-  double entries_per_second = 1;            ///< of the channel; urgent changes do not wait for it
-  std::size_t max_messages_per_window = 0;  ///< to one proxy; 0: no limit
+  double message_overhead_entries = 0;      ///< cost of each message beyond its entries, in entries
+  double entries_per_second = 1;            ///< capacity of the channel; does not delay urgent changes
+  std::size_t max_messages_per_window = 0;  ///< maximum messages to one proxy per window; 0: no limit
   Nanos window{};
-  Nanos urgent_change_timeout{};  ///< for the confirmation; the drain grace less the delays before the first
-                                  ///< push
-  Nanos liveness_interval{};      ///< between two liveness checks of a proxy that no change waits for
+  /// Time within which a proxy must confirm an urgent change: the drain grace less the delays before the
+  /// first push.
+  Nanos urgent_change_timeout{};
+  Nanos liveness_interval{};  ///< time between two liveness checks of a proxy without pending changes
 };
 
-/// What is to be sent to a proxy now.
+/// A table update or a liveness check that is to be sent to a proxy now.
 struct PendingPush {
   ProxyId proxy{};
-  std::shared_ptr<const ProxySnapshot> proxy_snapshot;  ///< null: a liveness check
-  bool overrides_rollback = false;                      ///< replaces tables that were rolled back by hand
+  std::shared_ptr<const ProxySnapshot> proxy_snapshot;  ///< null: the push is a liveness check
+  bool overrides_rollback = false;  ///< the push replaces tables that an operator rolled back
 };
 
-/// Not synchronised: the owner calls it under a lock. `on_joined`, `on_liveness` and `on_rollback` throw
+/// Not thread-safe: callers must hold a lock. `on_joined`, `on_liveness` and `on_rollback` throw
 /// std::out_of_range for a proxy that was not added.
 class PushScheduler {
  public:
   explicit PushScheduler(const PushLimits& limits);
 
-  /// A configured proxy. It is sent liveness checks, with a growing backoff, until it joins.
+  /// Adds a configured proxy. The proxy is sent liveness checks, with a growing backoff, until it joins.
   void add_known(Nanos now, ProxyId id);
-  /// The proxy responded. With `has_no_table` it is waited for as long as it takes; else nobody knows what
-  /// its table holds, and the first table of ours is urgent.
+  /// Handles the first response of a proxy, or the first since the proxy was lost. If `has_no_table`, the
+  /// first table that this process pushes is not urgent and has no deadline. Otherwise the content of the
+  /// stored table is unknown, so the first table that this process pushes is urgent.
   void on_joined(Nanos now, ProxyId id, bool has_no_table);
-  /// The proxy responded to a liveness check. `version`: of the newest table that it holds; absent without
-  /// one. True if the proxy joins by that: for the first time, or anew because it does not hold what it was
-  /// sent.
+  /// Handles the response to a liveness check. `version`: version of the newest table that the proxy has
+  /// stored; absent if the proxy has no table. Returns true if the proxy joins with this response: for the
+  /// first time, or again because the stored table is not the one that it was sent.
   bool on_liveness(Nanos now, ProxyId id, std::optional<SnapshotVersion> version);
-  /// An operator rolled the proxy back to tables with these replicas. They stay until a newer change is
-  /// confirmed; if one of the replicas is ejected they are replaced, as urgently as by any ejection.
+  /// Records that an operator rolled the proxy back to tables with the replicas `rolled_back_to`. The proxy
+  /// keeps these tables until it confirms a newer change. If one of the replicas is ejected, the tables are
+  /// replaced as urgently as after any other ejection.
   void on_rollback(Nanos now, ProxyId id, std::set<ReplicaId> rolled_back_to);
-  /// All replicas that no proxy may use now.
+  /// Records the complete list of ejected replicas, which no proxy may use.
   void on_ejected(Nanos now, std::set<ReplicaId> replicas);
-  /// `proxy_snapshot`: the proxy's configuration from now on; `entries`: how many of its entries changed.
-  /// Does nothing for a proxy that is unknown or has not joined.
+  /// Records a new configuration of the proxy. `proxy_snapshot`: the new configuration; `entries`: number of
+  /// changed entries. Does nothing for a proxy that is unknown or has not joined.
   void on_published(Nanos now, ProxyId id, std::shared_ptr<const ProxySnapshot> proxy_snapshot,
                     std::size_t entries);
 
-  /// The push to send now, if any. It is in flight until `on_confirmed`, `on_failed` or `on_rejected` is
-  /// called, or `on_joined` or `on_liveness` for a liveness check.
+  /// Returns the push to send now, if any. The push is in flight until `on_confirmed`, `on_failed` or
+  /// `on_rejected` is called for the proxy. A liveness check is also completed by `on_joined` or
+  /// `on_liveness`.
   std::optional<PendingPush> take_push(Nanos now);
-  /// When `take_push` could return something without any other event; absent if never.
+  /// Returns the next time at which `take_push` could return a push without any other event; absent if never.
   std::optional<Nanos> next_wake_up(Nanos now) const;
-  /// The proxy responded to the push in flight; it uses that version if it is the one that was sent. Does
-  /// nothing for an unknown proxy.
+  /// Handles the proxy's response to the push in flight. The proxy uses `version` if that is the version
+  /// which was sent last. Does nothing for an unknown proxy.
   void on_confirmed(Nanos now, ProxyId id, SnapshotVersion version);
-  /// The push was lost, not stored, or not confirmed in time; the proxy may have received it. Does nothing
-  /// for an unknown proxy.
+  /// Handles a push that was lost, not stored, or not confirmed in time. The proxy may still have received
+  /// the push. Does nothing for an unknown proxy.
   void on_failed(Nanos now, ProxyId id);
-  /// The proxy follows another control plane: it has left until it joins again. Does nothing for an unknown
-  /// proxy.
+  /// Handles a push that the proxy rejected because another control plane instance owns the proxy. The proxy
+  /// counts as having left until it joins again. Does nothing for an unknown proxy.
   void on_rejected(Nanos now, ProxyId id);
-  /// The proxies lost since the last call, by ascending id.
+  /// Returns the proxies that were lost since the last call, by ascending id.
   std::vector<ProxyId> take_lost(Nanos now);
-  /// False for an unknown proxy.
+  /// Whether the proxy has joined; false for an unknown proxy.
   bool is_joined(ProxyId id) const;
 
-  /// The queue totals, and counts since the start.
+  /// Totals of the send queues, and event counts since the start.
   struct Counts : SendQueueTotals {
-    std::uint64_t pushes = 0;    ///< with a table; liveness checks are not counted
-    std::uint64_t failures = 0;  ///< of pushes and liveness checks
+    std::uint64_t pushes = 0;    ///< table pushes; liveness checks are not counted
+    std::uint64_t failures = 0;  ///< failed pushes and failed liveness checks
   };
   const Counts& counts() const { return counts_; }
 
@@ -93,24 +98,27 @@
   struct Proxy {
     bool joined = false;
     bool in_flight = false;
-    bool has_no_table = true;                        // when it joined
-    std::shared_ptr<const ProxySnapshot> confirmed;  // null: nothing yet
-    std::shared_ptr<const ProxySnapshot> sent;       // may have arrived, also if the push failed
-    std::shared_ptr<const ProxySnapshot> latest;     // null: nothing yet
-    std::optional<Nanos> urgent_since;  // while what it may use would let it send where it must not
+    bool has_no_table = true;                        // whether the proxy had no table when it joined
+    std::shared_ptr<const ProxySnapshot> confirmed;  // last confirmed configuration; null: none yet
+    // Last sent configuration, which may have arrived even if the push failed; null: none yet.
+    std::shared_ptr<const ProxySnapshot> sent;
+    std::shared_ptr<const ProxySnapshot> latest;  // newest published configuration; null: none yet
+    // Time since which the proxy may be using a table that allows requests which `latest` does not allow;
+    // absent if there is no such table.
+    std::optional<Nanos> urgent_since;
     std::set<ReplicaId> rolled_back_to;
-    bool rollback_is_unsafe = false;  // it names an ejected replica
+    bool rollback_is_unsafe = false;  // whether the rollback's tables contain an ejected replica
     SendQueue queue;
     TokenBucketLimiter::Bucket bucket;
-    Nanos not_before{};  // of the next push
+    Nanos not_before{};  // earliest time of the next push
     Nanos last_response{};
     Nanos backoff{};
   };
-  // In the order in which pushes are sent.
+  // Kinds of push, from the highest priority to the lowest.
   enum class Priority { urgent_change, first_table, normal_change, liveness_check };
   struct Rank {
     Priority priority{};
-    Nanos since{};  // the oldest goes first
+    Nanos since{};  // among pushes of equal priority, the oldest is sent first
     bool goes_before(const Rank& other) const;
   };
 
@@ -129,7 +137,7 @@
   const TokenBucketLimiter limiter_;
   std::map<ProxyId, Proxy> proxies_;
   std::set<ReplicaId> ejected_;
-  Nanos channel_free_at_{};  // when what was sent so far has passed the channel
+  Nanos channel_free_at_{};  // time at which all messages sent so far have passed the channel
   Counts counts_;
 };
 
--- a/src/routing_state/routing_snapshot.cpp
+++ b/src/routing_state/routing_snapshot.cpp
@@ -5,7 +5,7 @@
 namespace ospreypost::routing_state {
 namespace {
 
-/// A weight below this fraction of the former one must reach the proxy urgently.
+/// An entry whose weight drops below this fraction of its previous weight requires an urgent update.
 constexpr double kUrgentWeightRatio = 0.5;
 
 bool requires_urgent_update(const RoutingTable& sent, const RoutingTable& latest) {
@@ -37,7 +37,7 @@
 std::size_t entry_count(const ProxySnapshot& proxy_snapshot) {
   std::size_t entries = 0;
   for (const auto& table : proxy_snapshot.routing_tables) {
-    // One more announces the binding to the table.
+    // The message has one extra entry per table, which announces the binding to the table.
     if (table) entries += 1 + table->entries.size() + table->traffic_policies.size();
   }
   return entries;
@@ -55,10 +55,10 @@
   return false;
 }
 
-std::vector<ProxyId> RoutingSnapshot::acknowledgement_recipients(bool reach_all) const {
+std::vector<ProxyId> RoutingSnapshot::acknowledgement_recipients(bool all_proxies) const {
   std::vector<ProxyId> recipients;
   for (const auto& [proxy, proxy_snapshot] : proxy_snapshots) {
-    if (reach_all || proxy_snapshot->changed_in == version) recipients.push_back(proxy);
+    if (all_proxies || proxy_snapshot->changed_in == version) recipients.push_back(proxy);
   }
   return recipients;
 }
--- a/src/routing_state/routing_snapshot.h
+++ b/src/routing_state/routing_snapshot.h
@@ -1,5 +1,5 @@
-/// The routing configuration of all proxies at one moment. Snapshots are immutable once published, and shared
-/// between threads without a lock.
+/// A routing snapshot is the routing configuration of all proxies at one time. Published snapshots are
+/// immutable, so threads share them without a lock.
 #pragma once
 
 #include <cstdint>
@@ -10,65 +10,66 @@
 
 namespace ospreypost::routing_state {
 
-/// Counts the published snapshots, from 1; 0 stands for none.
+/// Version of a published snapshot, counted up from 1; 0 means no snapshot.
 enum class SnapshotVersion : std::uint64_t {};
 
 /// One replica of a routing table.
 struct TableEntry {
   ReplicaId replica{};
-  double weight = 0;  ///< above 0, relative to the other entries
+  double weight = 0;  ///< above 0; relative to the weights of the table's other entries
   bool operator==(const TableEntry&) const = default;
 };
 
-/// How a proxy treats the requests of one class.
+/// How a proxy handles the requests of one request class.
 struct TrafficPolicy {
-  double admitted_fraction = 1;  ///< of the requests, 0 to 1
+  double admitted_fraction = 1;  ///< fraction of the requests that the proxy admits, 0 to 1
   RetryMode retry = RetryMode::after_rejection_proof;
   bool operator==(const TrafficPolicy&) const = default;
 };
 
-/// How a retry mode is written for proxies: in DNS records and in table files.
+/// Returns the name of a retry mode as written for proxies, in DNS records and in table files.
 const char* name_of(RetryMode retry);
 
-/// One table as it may be used: without ejected replicas.
+/// A routing table as proxies receive it, without entries for ejected replicas.
 struct RoutingTable {
-  std::vector<TableEntry> entries;              ///< by ascending replica
-  std::vector<TrafficPolicy> traffic_policies;  ///< by class
+  std::vector<TableEntry> entries;              ///< sorted by ascending replica id
+  std::vector<TrafficPolicy> traffic_policies;  ///< indexed by request class
   bool operator==(const RoutingTable&) const = default;
 };
 
-/// The configuration of one proxy.
+/// Routing configuration of one proxy.
 struct ProxySnapshot {
-  SnapshotVersion changed_in{};  ///< the version that last changed it
-  /// By class; null where the proxy is bound to no table for that class.
+  SnapshotVersion changed_in{};  ///< snapshot version that last changed this configuration
+  /// Routing tables, indexed by request class; null for a class for which the proxy is bound to no table.
   std::vector<std::shared_ptr<const RoutingTable>> routing_tables;
 };
 
-/// The entries that a message with the complete configuration of a proxy carries, traffic policies included.
+/// Returns the number of entries in a message with the complete configuration of a proxy. Traffic policies
+/// and bindings count as entries.
 std::size_t entry_count(const ProxySnapshot& proxy_snapshot);
 
-/// Whether a proxy that still uses `sent` could send requests where `latest` would not let it: to a replica
-/// that is no longer there, or that has less than half of its former weight.
+/// Whether a proxy that still uses `sent` could send requests that `latest` does not allow: to a replica that
+/// `latest` does not contain, or that has less than half of its weight in `sent`.
 bool requires_urgent_update(const ProxySnapshot& sent, const ProxySnapshot& latest);
 
-/// One proxy of a snapshot, with its configuration.
+/// A proxy and its configuration in a routing snapshot.
 struct ProxySnapshotEntry {
   ProxyId proxy{};
-  std::shared_ptr<const ProxySnapshot> snapshot;  ///< never null
+  std::shared_ptr<const ProxySnapshot> snapshot;  ///< configuration of the proxy; never null
 };
 
-/// The configuration of all proxies.
+/// Routing configuration of all proxies.
 struct RoutingSnapshot {
   SnapshotVersion version{};
   Nanos created{};
-  /// By ascending proxy. Proxies that are bound to no table yet are left out.
+  /// Configurations sorted by ascending proxy id, without the proxies that are bound to no table yet.
   std::vector<ProxySnapshotEntry> proxy_snapshots;
 
-  /// Whom an acknowledgement request made with this version goes to: all proxies if `reach_all`, else those
-  /// that this version changed. By ascending proxy.
-  std::vector<ProxyId> acknowledgement_recipients(bool reach_all) const;
+  /// Returns the proxies that receive an acknowledgement request for this version, by ascending id: all
+  /// proxies if `all_proxies`, otherwise the proxies whose configuration this version changed.
+  std::vector<ProxyId> acknowledgement_recipients(bool all_proxies) const;
 
-  /// Null for a proxy that has not joined or is bound to no table yet.
+  /// Returns the configuration of a proxy; null if the proxy has not joined or is bound to no table yet.
   std::shared_ptr<const ProxySnapshot> snapshot_of(ProxyId proxy) const;
 };
 
--- a/src/routing_state/routing_state.cpp
+++ b/src/routing_state/routing_state.cpp
@@ -32,7 +32,7 @@
 void RoutingState::bind(ProxyId id, TableId table, ClassMask classes) {
   const auto proxy = proxies_.find(id);
   if (proxy == proxies_.end()) return;
-  // A table without any entry yet is still subject to the traffic policies of every table.
+  // The default traffic policies apply even to a table without entries, so a new table is published.
   const bool is_new = tables_.try_emplace(table).second;
   if (is_new) changed_tables_.insert(table);
   for (const std::size_t cls : classes_in(classes)) proxy->second.tables[cls] = table;
@@ -88,7 +88,8 @@
   for (const auto& [replica, weight] : table.weights) {
     if (!ejected_.contains(replica)) usable.entries.push_back({replica, weight});
   }
-  // Where both are set, the lower admitted fraction holds, and the table's own retry mode.
+  // If a class has both a default policy and one set for the table, the lower admitted fraction and the
+  // table's retry mode apply.
   for (const auto& [cls, own] : table.traffic_policies) {
     TrafficPolicy& policy = usable.traffic_policies[cls];
     policy = {std::min(own.admitted_fraction, policy.admitted_fraction), own.retry};
@@ -96,7 +97,8 @@
   return usable;
 }
 
-// True if what proxies may use of the table differs from what is published.
+// Rebuilds the published table. Returns true if the table without ejected replicas differs from the one that
+// was published before.
 bool RoutingState::rebuild(Table& table) const {
   RoutingTable usable = usable_table(table);
   if (usable == *table.published) return false;
@@ -118,7 +120,7 @@
   if (!rebuilt.empty() || !rebound_proxies_.empty() || proxies_changed_) {
     publication = make_publication(now, rebuilt);
   }
-  forget_changes();
+  clear_changes();
   return publication;
 }
 
@@ -151,7 +153,8 @@
   std::size_t entries = 0;
   for (const TableId table_id : bound) {
     const Table& table = tables_.at(table_id);
-    // A binding brings the complete table; else only the changes are sent.
+    // A proxy whose bindings changed is sent its complete tables; other proxies are sent only the changed
+    // entries.
     if (is_rebound) {
       entries += 1 + table.weights.size();
     } else if (rebuilt.contains(table_id)) {
@@ -170,7 +173,7 @@
   return snapshot;
 }
 
-void RoutingState::forget_changes() {
+void RoutingState::clear_changes() {
   for (const TableId id : changed_tables_) tables_.at(id).changed_entries = 0;
   changed_tables_.clear();
   rebound_proxies_.clear();
--- a/src/routing_state/send_queue.h
+++ b/src/routing_state/send_queue.h
@@ -1,5 +1,6 @@
-/// How many table entries wait to be sent to each proxy, and to all. Changes that wait are merged, so that a
-/// queue is never longer than a message with the complete configuration. Free of I/O.
+/// Send queues count the table entries that are pending for each proxy and for all proxies together. Free of
+/// I/O. Pending changes are merged, so a queue is never longer than a message with the complete
+/// configuration.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +9,21 @@
 
 namespace ospreypost::routing_state {
 
-/// The queues of all proxies together.
+/// Totals over the send queues of all proxies.
 struct SendQueueTotals {
   double queued_entries = 0;
-  double max_queued_entries = 0;  ///< since the start
+  double max_queued_entries = 0;  ///< maximum of `queued_entries` since the start
 };
 
-/// The entries that wait for one proxy. Each change is accounted for in the totals that its owner keeps.
+/// Number of entries that are pending for one proxy. Each change of the queue is also applied to the caller's
+/// totals.
 class SendQueue {
  public:
-  /// Adds a change of so many entries. `latest`: the proxy's configuration with that change;
-  /// `message_overhead`: the entries that each message costs beyond its own.
+  /// Adds a change with `changed_entries` entries. `latest`: the proxy's configuration including the change;
+  /// `message_overhead`: cost of each message beyond its entries, in entries.
   void add(std::size_t changed_entries, const ProxySnapshot& latest, double message_overhead,
            SendQueueTotals& totals);
-  /// Everything that waited was sent, or is not to be sent any more.
+  /// Empties the queue after the pending entries were sent or became obsolete.
   void clear(SendQueueTotals& totals);
   double entries() const { return entries_; }
 
--- a/src/routing_state/token_bucket_limiter.h
+++ b/src/routing_state/token_bucket_limiter.h
@@ -1,4 +1,5 @@
-/// Limits the messages to one proxy, so that no time window ever holds more than allowed. Free of I/O.
+/// Limits the messages to one proxy, so that no time window contains more than the allowed number of
+/// messages. Free of I/O.
 #pragma once
 
 #include <cstddef>
@@ -7,29 +8,31 @@
 
 namespace ospreypost::routing_state {
 
-/// The limit as a token bucket. With a depth of d tokens and a refill rate of (allowed - d) a window, no
-/// window holds more messages than allowed. Immutable; the state of each proxy is a `Bucket`.
+/// Implements the message limit as a token bucket. If n messages are allowed per window, the bucket holds at
+/// most d tokens and is refilled with n minus d tokens per window, so no window contains more than n
+/// messages. The limiter is immutable; the state of each proxy is a `Bucket`.
 class TokenBucketLimiter {
  public:
-  /// `max_messages` within any `window`; 0: no limit.
+  /// `max_messages`: maximum number of messages within any period of length `window`; 0: no limit.
   TokenBucketLimiter(std::size_t max_messages, Nanos window);
 
-  /// The tokens of one proxy.
+  /// Token count of one proxy.
   struct Bucket {
     double tokens = 0;
     Nanos refilled_at{};
   };
 
-  /// For a proxy that was sent nothing within the window.
+  /// Returns the bucket of a proxy that was sent no message within the last window.
   Bucket full_bucket(Nanos now) const;
-  /// For a proxy of which nobody knows how many messages it was sent within the window. It starts empty, so
-  /// that no window holds more than allowed however many processes without that knowledge follow each other;
-  /// or, where tokens come too slowly, with what lacks to one token after `first_message_within`.
+  /// Returns the bucket of a proxy that was sent an unknown number of messages within the last window. The
+  /// bucket starts empty, so that no window contains more messages than allowed even if many processes
+  /// without that knowledge run one after another. If the refill takes longer than `first_message_within` for
+  /// one token, the bucket starts with as many tokens as it needs to have one token after that time.
   Bucket bucket_of_unknown_history(Nanos now, Nanos first_message_within) const;
-  /// Whether a message may be sent now. A normal message waits for a full bucket, so that an urgent one finds
-  /// tokens left. Refills the bucket up to `now`.
+  /// Refills the bucket up to `now`, and returns whether a message may be sent now. A normal message needs a
+  /// full bucket, so that tokens are left for urgent messages. An urgent message needs one token.
   bool may_send(Nanos now, Bucket& bucket, bool is_urgent) const;
-  /// Accounts for a message.
+  /// Removes one token from the bucket for a message that is sent.
   static void take(Bucket& bucket) { bucket.tokens -= 1; }
 
  private:
--- a/tests/program/lease_table_test.cpp
+++ b/tests/program/lease_table_test.cpp
@@ -1,4 +1,4 @@
-/// Which of several processes pushes to a proxy, on generated starts, ends and clocks.
+/// Tests which of several processes may push to a proxy, with generated process starts and clocks.
 #include "routing_state/lease_table.h"
 
 #include <gtest/gtest.h>
@@ -17,10 +17,10 @@
 constexpr ProxyId kProxy{3};
 constexpr int kLeaseSteps = 5;
 
-/// Stores one proxy's table as its receiver does, as plainly as possible.
+/// A minimal model of the receiver that stores the table of one proxy.
 struct PlainReceiver {
   RemoteState stored;
-  int silent_steps = 0;  // since the owner sent something
+  int silent_steps = 0;  // number of steps since the owner last sent a message
 
   bool is_stored_by(const LeaseTable& leases) const {
     return stored.has_table && stored.owner == leases.owner() && stored.epoch == leases.epoch(kProxy);
@@ -44,12 +44,13 @@
   }
 };
 
-/// Two processes at a time and the receiver of one proxy, with the checks of each step.
+/// Two concurrent processes and the receiver of one proxy. Each step checks the result of its action.
 class CompetingProcesses {
  public:
   void restart_one() { random_process() = start(); }
 
-  /// A process checks the proxy; if it claims it, its next push is stored.
+  /// A random process sends a liveness check to the proxy. If the process claims the proxy, its next push
+  /// must be stored.
   void check_liveness() {
     LeaseTable& leases = *random_process();
     const bool is_first = leases.epoch(kProxy) == 0;
@@ -65,14 +66,15 @@
     RC_ASSERT(!before.has_table || before.epoch < receiver_.stored.epoch);
   }
 
-  /// A process pushes, unless it knows that the proxy is another's.
+  /// A random process pushes to the proxy, unless the process knows that another process owns the proxy.
   void push() {
     LeaseTable& leases = *random_process();
     const std::string& owner = leases.owner();
     if (!ownerships_.contains(owner) || ownerships_[owner] == LeaseTable::Ownership::theirs) return;
     const RemoteState before = receiver_.stored;
     if (receiver_.store(leases, ++version_)) {
-      // Or it claimed the proxy after the lease had expired, and pushes only now.
+      // A push is stored if the process already owned the stored table, or if the process had claimed the
+      // proxy after the lease expired.
       RC_ASSERT(before.owner == owner || claimed_after_expiry_.contains(owner));
       claimed_after_expiry_.erase(owner);
       return;
@@ -83,10 +85,10 @@
     if (remote.lease_expired) claimed_after_expiry_.insert(owner);
   }
 
-  void pass_a_step() { ++receiver_.silent_steps; }
+  void advance_step() { ++receiver_.silent_steps; }
 
  private:
-  // The first epoch is that of a clock which may have gone back since the last start.
+  // The first epoch is random, because the clock that determines it may have gone back since the last start.
   std::unique_ptr<LeaseTable> start() {
     const auto first_epoch = *rc::gen::inRange<std::uint64_t>(1, 20);
     return std::make_unique<LeaseTable>(first_epoch, "g" + std::to_string(++started_));
@@ -97,16 +99,18 @@
   std::uint64_t version_ = 0;
   PlainReceiver receiver_;
   std::array<std::unique_ptr<LeaseTable>, 2> processes_{start(), start()};
-  std::map<std::string, LeaseTable::Ownership> ownerships_;  // by process, as last observed
-  std::set<std::string> claimed_after_expiry_;               // and not pushed since
+  std::map<std::string, LeaseTable::Ownership> ownerships_;  // last observed ownership, by process
+  // Processes that claimed the proxy after the lease expired, and have not pushed since.
+  std::set<std::string> claimed_after_expiry_;
 };
 
-// A process that owns a proxy gets its next push stored unless another claimed the proxy since; one that does
-// not is never stored; and a proxy changes hands only by a first observation or an expired lease.
+// A push from the owner of a proxy is stored unless another process has claimed the proxy since. A push from
+// a process that does not own the proxy is never stored. The owner of a proxy changes only when a process
+// first observes the proxy, or after the lease has expired.
 RC_GTEST_PROP(LeaseTableTest, OneProcessPushesAtATime, ()) {
   CompetingProcesses processes;
   for (int steps = *rc::gen::inRange(5, 120); steps > 0; --steps) {
-    processes.pass_a_step();
+    processes.advance_step();
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
         processes.restart_one();
--- a/tests/program/pull_delivery_test.cpp
+++ b/tests/program/pull_delivery_test.cpp
@@ -1,4 +1,4 @@
-/// What pulling proxies are answered with, on generated changes and queries.
+/// Tests the answers to pulling proxies, with generated changes and queries.
 #include "routing_state/pull_delivery.h"
 
 #include <gtest/gtest.h>
@@ -35,11 +35,12 @@
   return 0;
 }
 
-// Whatever changes and whenever it is queried: no window holds too many messages, no answer gives a replica
-// a weight far above that of the latest table, and no queue is longer than the complete configuration.
+// With random changes and query times: no window contains too many messages, no answer gives a replica more
+// than twice its weight in the latest table, and no queue is longer than a message with the complete
+// configuration.
 RC_GTEST_PROP(PullDeliveryTest, KeepsTheMessageLimitAndNeverAnswersWithEjectedReplicas, ()) {
   constexpr double kMessageOverhead = 2;
-  constexpr double kMaxEntries = 1 + kReplicaCount + 1;  // the binding, the replicas, a traffic policy
+  constexpr double kMaxEntries = 1 + kReplicaCount + 1;  // one binding, all replicas, one traffic policy
   const auto allowed = static_cast<std::size_t>(*rc::gen::inRange(4, 14));
   PullDelivery delivery({kMessageOverhead, allowed, kWindow});
   Nanos now{100s};
--- a/tests/program/push_scheduler_test.cpp
+++ b/tests/program/push_scheduler_test.cpp
@@ -1,4 +1,4 @@
-/// What pushed proxies are sent and when, and which are given up on.
+/// Tests which pushes proxies are sent, at which time, and which proxies count as lost.
 #include "routing_state/push_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   return push.proxy_snapshot ? push.proxy_snapshot->changed_in : SnapshotVersion{};
 }
 
-/// One proxy that uses version 1, with the replicas 1 and 2.
+/// A scheduler with one joined proxy, which uses version 1 with the replicas 1 and 2.
 class PushSchedulerTest : public testing::Test {
  protected:
   PushSchedulerTest() {
@@ -53,14 +53,14 @@
   EXPECT_EQ(scheduler_.take_push(1101ms)->proxy, other_proxy_);
   EXPECT_FALSE(scheduler_.take_push(1102ms));
   EXPECT_EQ(scheduler_.take_push(1200ms)->proxy, proxy_);
-  // The confirmation of an older version confirms nothing.
+  // A confirmation of an older version does not confirm the push in flight.
   scheduler_.on_confirmed(1300ms, proxy_, SnapshotVersion{1});
   EXPECT_EQ(scheduler_.take_push(1301ms)->proxy_snapshot->changed_in, SnapshotVersion{2});
   scheduler_.on_confirmed(1400ms, proxy_, SnapshotVersion{2});
   EXPECT_TRUE(scheduler_.take_lost(3600ms).empty());
 }
 
-TEST_F(PushSchedulerTest, GivesUpAProxyThatDoesNotConfirmAnEjectionInTime) {
+TEST_F(PushSchedulerTest, LosesAProxyThatDoesNotConfirmAnEjectionInTime) {
   scheduler_.on_published(1s, proxy_, make_proxy_snapshot(2, {1}), 1);
   for (Nanos now = 1s; now < 3400ms; now += 20ms) {
     if (scheduler_.take_push(now)) scheduler_.on_failed(now, proxy_);
@@ -68,13 +68,15 @@
   }
   EXPECT_EQ(scheduler_.take_lost(3600ms), std::vector{proxy_});
   EXPECT_FALSE(scheduler_.is_joined(proxy_));
-  // It responds again, with an unknown table: the complete one must reach it in time as well.
+  // The proxy responds again, with an unknown table: the proxy must confirm the complete table in time as
+  // well.
   scheduler_.on_joined(5s, proxy_, false);
   scheduler_.on_published(5s, proxy_, make_proxy_snapshot(2, {1}), 3);
   EXPECT_EQ(scheduler_.take_lost(7600ms), std::vector{proxy_});
 }
 
-// The lease of its table runs out while a change waits for the channel or for a token.
+// Without liveness checks, the lease of the proxy's table would expire while a change waits for the channel
+// or for a token.
 TEST_F(PushSchedulerTest, SendsLivenessChecksToAProxyWhoseChangeWaits) {
   std::uint64_t version = 1;
   Nanos last_response = 10ms;
@@ -109,7 +111,7 @@
   scheduler_.on_ejected(1500ms, {ReplicaId{3}});
   scheduler_.on_rollback(1500ms, proxy_, {ReplicaId{1}, ReplicaId{2}});
   EXPECT_FALSE(scheduler_.take_push(1900ms));
-  // The newest table does not name the replica, so no change is published.
+  // The newest table does not contain replica 2, so its ejection publishes no change.
   scheduler_.on_ejected(2100ms, {ReplicaId{2}, ReplicaId{3}});
   const auto push = scheduler_.take_push(2100ms);
   ASSERT_TRUE(push && push->proxy_snapshot);
@@ -126,12 +128,12 @@
   EXPECT_FALSE(scheduler_.is_joined(proxy_));
   EXPECT_FALSE(scheduler_.take_push(1500ms));
   EXPECT_EQ(scheduler_.counts().queued_entries, 0);
-  // It still gets liveness checks.
+  // A removed proxy still gets liveness checks.
   EXPECT_FALSE(scheduler_.take_push(2100ms)->proxy_snapshot);
 }
 
-// A proxy came with a table of unknown origin, and waits for a token. Liveness checks, here more frequent
-// than tokens, must not put that off.
+// The proxy has a table of unknown origin, and its first push waits for a token. Liveness checks, which are
+// more frequent than tokens in this test, must not delay the push.
 TEST(PushSchedulerTokenTest, AProxyOfUnknownHistoryGetsItsFirstTable) {
   PushLimits limits = kLimits;
   limits.liveness_interval = 250ms;
@@ -152,7 +154,7 @@
   EXPECT_GT(now, 500ms);
 }
 
-/// The times of the messages to one proxy within the last window.
+/// Records the times of the messages to one proxy within the last window.
 class MessageWindow {
  public:
   void add(Nanos now) { sent_at_.push_back(now); }
@@ -165,7 +167,7 @@
   std::deque<Nanos> sent_at_;
 };
 
-// Processes that end and start again each second know nothing of each other's messages.
+// A process that restarts about every second has no record of the messages of its earlier incarnations.
 TEST(PushSchedulerTokenTest, ManyIncarnationsTogetherKeepTheMessageLimit) {
   const ProxyId proxy{1};
   MessageWindow messages;
@@ -194,7 +196,7 @@
   EXPECT_GT(messages.size_at(now), 3U);
 }
 
-/// Several proxies, of which the first responds slowly.
+/// A scheduler with several proxies. The first proxy responds slowly.
 class PushedFleet {
  public:
   static constexpr std::uint16_t kProxyCount = 4;
@@ -207,7 +209,7 @@
     }
   }
 
-  void publish_at_random() {
+  void publish_random_change() {
     const ProxyId proxy{static_cast<std::uint16_t>(*rc::gen::inRange(0, static_cast<int>(kProxyCount)))};
     ++version_;
     latest_[proxy] = *rc::gen::arbitrary<bool>() ? make_proxy_snapshot(version_, {1, 2})
@@ -216,7 +218,7 @@
   }
 
   void advance(Nanos time) { now_ += time; }
-  /// Responses arrive, of which some are lost if `with_failures`; then new pushes are sent.
+  /// Delivers the responses that are due, then sends new pushes. If `with_failures`, random pushes fail.
   void exchange(bool with_failures) {
     receive_responses(with_failures);
     send_pushes();
@@ -273,13 +275,13 @@
   std::multimap<Nanos, PendingPush> in_flight_;
 };
 
-// A slow proxy delays no other; no window holds too many messages to any; and in the end all use the latest
-// table.
+// A slow proxy does not delay other proxies, no window contains too many messages to one proxy, and finally
+// all proxies use their latest table.
 RC_GTEST_PROP(PushSchedulerFleetTest, ReachesEveryProxyWithinTheMessageLimit, ()) {
   PushedFleet fleet;
   for (int steps = *rc::gen::inRange(20, 200); steps > 0; --steps) {
     fleet.advance(std::chrono::milliseconds(*rc::gen::inRange(1, 300)));
-    if (*rc::gen::arbitrary<bool>()) fleet.publish_at_random();
+    if (*rc::gen::arbitrary<bool>()) fleet.publish_random_change();
     fleet.exchange(true);
   }
   for (int steps = 0; steps < 400; ++steps) {
--- a/tests/program/routing_fixture.h
+++ b/tests/program/routing_fixture.h
@@ -1,4 +1,4 @@
-/// Configurations of proxies that the tests of routing_state/ share.
+/// Proxy configurations that are shared by the tests of routing_state/.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace ospreypost::routing_state {
 
-/// The configuration of a proxy with one table, for one class.
+/// Returns the configuration of a proxy with one table, for one request class.
 inline std::shared_ptr<const ProxySnapshot> make_proxy_snapshot(std::uint64_t version, RoutingTable table) {
   auto snapshot = std::make_shared<ProxySnapshot>();
   snapshot->changed_in = SnapshotVersion{version};
@@ -19,7 +19,7 @@
   return snapshot;
 }
 
-/// With one table of these replicas, all of weight 1.
+/// Returns the configuration of a proxy whose only table contains `replicas`, each with weight 1.
 inline std::shared_ptr<const ProxySnapshot> make_proxy_snapshot(
     std::uint64_t version, std::initializer_list<std::uint32_t> replicas) {
   RoutingTable table;
--- a/tests/program/routing_snapshot_test.cpp
+++ b/tests/program/routing_snapshot_test.cpp
@@ -1,4 +1,4 @@
-/// What differs between the configurations of a proxy, and what a snapshot holds for whom.
+/// Tests the comparison of proxy configurations, and the lookup of configurations in a routing snapshot.
 #include "routing_state/routing_snapshot.h"
 
 #include <gtest/gtest.h>
--- a/tests/program/routing_state_test.cpp
+++ b/tests/program/routing_state_test.cpp
@@ -1,4 +1,4 @@
-/// The routing state beside a plain model, on generated actions.
+/// Compares the routing state with a simple model, on generated actions.
 #include "routing_state/routing_state.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,8 @@
 constexpr std::size_t kClassCount = 2;
 constexpr std::uint16_t kProxyCount = 4;
 
-/// Keeps every action as it came, and works out from scratch what a proxy may use each time.
+/// A simple model of the routing state: stores the effect of each action, and computes the table of a proxy
+/// from scratch on each call.
 struct PlainRoutingState {
   std::map<TableId, std::map<ReplicaId, double>> tables;
   std::map<TableId, std::map<std::size_t, TrafficPolicy>> own_policies;
@@ -58,7 +59,7 @@
 
 bool contains(ClassMask mask, std::size_t cls) { return mask == 0 || (mask >> cls & 1U) != 0; }
 
-/// What a random action is about; each action uses a part of it.
+/// Random parameters for an action; each kind of action uses some of them.
 struct RandomTarget {
   ReplicaId replica{static_cast<std::uint32_t>(*rc::gen::inRange(0, 5))};
   TableId table{static_cast<std::uint16_t>(*rc::gen::inRange(0, 3))};
@@ -109,7 +110,7 @@
   }
 }
 
-void act_at_random(RoutingState& state, PlainRoutingState& plain) {
+void apply_random_action(RoutingState& state, PlainRoutingState& plain) {
   const RandomTarget target;
   switch (*rc::gen::inRange(0, 8)) {
     case 0:
@@ -149,7 +150,7 @@
   std::map<ProxyId, std::shared_ptr<const ProxySnapshot>> last;
   std::uint64_t version = 0;
   for (int publications = *rc::gen::inRange(1, 30); publications > 0; --publications) {
-    for (int actions = *rc::gen::inRange(0, 6); actions > 0; --actions) act_at_random(state, plain);
+    for (int actions = *rc::gen::inRange(0, 6); actions > 0; --actions) apply_random_action(state, plain);
     const auto publication = state.publish(1s);
     std::set<ProxyId> changed;
     if (publication) {
@@ -162,7 +163,7 @@
     for (std::uint16_t id = 0; id < kProxyCount; ++id) {
       const ProxyId proxy{id};
       const auto snapshot = publication ? publication->snapshot->snapshot_of(proxy) : last[proxy];
-      // The changes name exactly the proxies with another configuration than before.
+      // The changes must list exactly the proxies whose configuration differs from the previous one.
       const bool differs = snapshot && snapshot != last[proxy];
       if (publication) RC_ASSERT(changed.contains(proxy) == differs);
       last[proxy] = snapshot;
--- a/tests/program/token_bucket_limiter_test.cpp
+++ b/tests/program/token_bucket_limiter_test.cpp
@@ -1,4 +1,4 @@
-/// How many messages the limiter lets pass, on generated attempts.
+/// Tests the number of messages that the limiter allows, with generated attempts to send.
 #include "routing_state/token_bucket_limiter.h"
 
 #include <gtest/gtest.h>
@@ -38,18 +38,18 @@
   TokenBucketLimiter::take(bucket);
   EXPECT_FALSE(limiter.may_send(0s, bucket, false));
   EXPECT_TRUE(limiter.may_send(0s, bucket, true));
-  // 9 tokens a window.
+  // The refill rate is 9 tokens per window.
   EXPECT_FALSE(limiter.may_send(1s, bucket, false));
   EXPECT_TRUE(limiter.may_send(1200ms, bucket, false));
 }
 
 TEST(TokenBucketLimiterTest, ABucketOfUnknownHistoryIsGivenItsFirstTokenInTime) {
-  // 9 tokens a window: the first comes after 1.1 s.
+  // The refill rate is 9 tokens per window, so the first token is available after 1.1 s.
   const TokenBucketLimiter fast(12, kWindow);
   TokenBucketLimiter::Bucket bucket = fast.bucket_of_unknown_history(0s, 2s);
   EXPECT_FALSE(fast.may_send(1100ms, bucket, true));
   EXPECT_TRUE(fast.may_send(1200ms, bucket, true));
-  // 1 token a window, which is too slow.
+  // The refill rate is 1 token per window, which is too slow for one token within 2 s.
   const TokenBucketLimiter slow(4, kWindow);
   bucket = slow.bucket_of_unknown_history(0s, 2s);
   EXPECT_FALSE(slow.may_send(1900ms, bucket, true));
