--- a/src/dns/answer_cache.cpp
+++ b/src/dns/answer_cache.cpp
@@ -2,27 +2,27 @@
 
 namespace ospreypost::dns {
 
-std::string AnswerCache::key_of(std::span<const std::uint8_t> question, bool by_tcp) {
+std::string AnswerCache::key_of(std::span<const std::uint8_t> question, bool over_tcp) {
   constexpr std::size_t id_bytes = 2;
-  std::string key(1, by_tcp ? 't' : 'u');
+  std::string key(1, over_tcp ? 't' : 'u');
   key.append(reinterpret_cast<const char*>(question.data()) + id_bytes, question.size() - id_bytes);
   return key;
 }
 
-std::shared_ptr<const AnswerCache::Kept> AnswerCache::find(std::span<const std::uint8_t> question,
-                                                           bool by_tcp) {
-  const auto key = key_of(question, by_tcp);
-  const std::lock_guard held(lock_);
-  const auto known = kept_.find(key);
-  return known == kept_.end() ? nullptr : known->second;
+std::shared_ptr<const AnswerCache::CachedAnswer> AnswerCache::find(std::span<const std::uint8_t> question,
+                                                                   bool over_tcp) {
+  const auto key = key_of(question, over_tcp);
+  const std::lock_guard lock(mutex_);
+  const auto known = entries_.find(key);
+  return known == entries_.end() ? nullptr : known->second;
 }
 
-void AnswerCache::keep(std::span<const std::uint8_t> question, bool by_tcp, Kept kept) {
-  auto key = key_of(question, by_tcp);
-  auto shared = std::make_shared<const Kept>(std::move(kept));
-  const std::lock_guard held(lock_);
-  if (kept_.size() >= most_) kept_.clear();
-  kept_[std::move(key)] = std::move(shared);
+void AnswerCache::insert(std::span<const std::uint8_t> question, bool over_tcp, CachedAnswer cached_answer) {
+  auto key = key_of(question, over_tcp);
+  auto shared = std::make_shared<const CachedAnswer>(std::move(cached_answer));
+  const std::lock_guard lock(mutex_);
+  if (entries_.size() >= max_entries_) entries_.clear();
+  entries_[std::move(key)] = std::move(shared);
 }
 
 }  // namespace ospreypost::dns
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -1,4 +1,5 @@
-// Answers about proxies' tables that were made before, to be sent again: the same question on the same basis.
+// The answer cache stores encoded answers about the routing tables of proxies. A cached answer is sent again
+// when the same question arrives and the inputs of the answer have not changed.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +16,39 @@
 
 namespace ospreypost::dns {
 
-// What such an answer depends on, beside the question's bytes.
-struct Basis {
-  explicit Basis(const delivery::PullAnswer& told)
-      : proxy_snapshot(told.proxy_snapshot), directory(told.directory), lifetime(told.ttl_decision.ttl) {}
-  bool operator==(const Basis&) const = default;
+// Everything that the answer about a proxy's routing table depends on, apart from the bytes of the question.
+struct AnswerInputs {
+  explicit AnswerInputs(const delivery::PullAnswer& pull_answer)
+      : proxy_snapshot(pull_answer.proxy_snapshot),
+        directory(pull_answer.directory),
+        ttl(pull_answer.ttl_decision.ttl) {}
+  bool operator==(const AnswerInputs&) const = default;
 
   std::shared_ptr<const routing_state::ProxySnapshot> proxy_snapshot;
   std::shared_ptr<const delivery::EndpointDirectory> directory;
-  dns::Ttl lifetime;
+  dns::Ttl ttl;
 };
 
-// Bounded: when it is full it starts anew. Shared by threads.
+// The cache is bounded: it is emptied before an entry would exceed the maximum. Thread-safe.
 class AnswerCache {
  public:
-  struct Kept {
-    ProxyTable about;
-    Basis basis;
-    Bytes answer;  // with the id of the question that it was made for
+  struct CachedAnswer {
+    ProxyTable proxy_table;
+    AnswerInputs inputs;
+    Bytes answer;  // contains the id of the question for which the answer was made
   };
-  explicit AnswerCache(std::size_t most) : most_(most) {}
-  // The answer kept for the same bytes, but for their id. Null if there is none.
-  std::shared_ptr<const Kept> find(std::span<const std::uint8_t> question, bool by_tcp);
-  void keep(std::span<const std::uint8_t> question, bool by_tcp, Kept kept);
+  explicit AnswerCache(std::size_t max_entries) : max_entries_(max_entries) {}
+  // Returns the answer cached for the same question bytes, ignoring the question's id. Null if none is
+  // cached.
+  std::shared_ptr<const CachedAnswer> find(std::span<const std::uint8_t> question, bool over_tcp);
+  void insert(std::span<const std::uint8_t> question, bool over_tcp, CachedAnswer cached_answer);
 
  private:
-  static std::string key_of(std::span<const std::uint8_t> question, bool by_tcp);
+  static std::string key_of(std::span<const std::uint8_t> question, bool over_tcp);
 
-  const std::size_t most_;
-  std::mutex lock_;
-  std::unordered_map<std::string, std::shared_ptr<const Kept>> kept_;
+  const std::size_t max_entries_;
+  std::mutex mutex_;
+  std::unordered_map<std::string, std::shared_ptr<const CachedAnswer>> entries_;
 };
 
 }  // namespace ospreypost::dns
--- a/src/dns/client_ttl_policy.cpp
+++ b/src/dns/client_ttl_policy.cpp
@@ -10,22 +10,23 @@
 
 constexpr Ttl kMinTtl{1};
 constexpr Nanos kMinSilenceTimeout = 1s;
-/// Answers in a row that an untrusted client has to query again in time before it gets replicas.
+/// Number of consecutive punctual answers, that is answers after which the client queried again in time, that
+/// an untrusted client needs before it gets replicas.
 constexpr int kRequiredPunctualAnswers = 3;
-/// An answer counts as punctual if its time of use exceeds its TTL by at most this part of the maximum time
-/// of use.
+/// An answer is punctual if its time of use exceeds its TTL by at most the maximum time of use divided by
+/// kPunctualityDivisor. The tolerated lateness is subtracted first.
 constexpr int kPunctualityDivisor = 4;
 constexpr Nanos kLatenessHalfLife = 5min;
-/// Lateness that clocks, threads and a busy client explain, without a cache.
+/// Lateness that can be caused by clocks, thread scheduling and a busy client, without any cache.
 constexpr Nanos kToleratedLateness = 50ms;
-/// The part of the memory of a lateness that is left after the longest TTL, at least.
+/// Minimum fraction of a remembered lateness that remains after the maximum TTL has passed.
 constexpr double kMinMemoryLeft = 0.975;
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
 Nanos nanos(double seconds) { return Nanos(static_cast<Nanos::rep>(seconds * 1e9)); }
 
-// How long an answer may be used. What is tolerated, and what decays between two queries, has to fit within
-// the grace as well.
+// Returns the maximum time for which a client may use an answer. The tolerated lateness, and the part
+// of a remembered lateness that decays between two queries, must also fit into the drain grace.
 Nanos max_time_of_use(const ClientTtlLimits& limits) {
   const Nanos remaining_grace =
       limits.drain_grace - limits.endpoint_list_lag - limits.answer_delay - kToleratedLateness;
@@ -44,19 +45,20 @@
 void ClientTtlPolicy::add_known(ProxyId id, bool trusted) { clients_[id].trusted = trusted; }
 
 void ClientTtlPolicy::decay_memory(Nanos now, Client& client) {
-  const double left = std::exp2(-seconds(now - client.decayed_at) / seconds(kLatenessHalfLife));
-  client.ttl_multiple = 1 + (client.ttl_multiple - 1) * left;
-  client.max_lateness = nanos(seconds(client.max_lateness) * left);
+  const double remaining = std::exp2(-seconds(now - client.decayed_at) / seconds(kLatenessHalfLife));
+  client.ttl_multiple = 1 + (client.ttl_multiple - 1) * remaining;
+  client.max_lateness = nanos(seconds(client.max_lateness) * remaining);
   client.decayed_at = now;
 }
 
-// A cache that multiplies TTLs and one that adds to them look the same in one answer; only the next TTL would
-// tell them apart. The worse of the two counts.
+// Returns the longer of two estimates. One late answer does not show whether a cache multiplies TTLs or adds
+// a fixed time to them; only an answer with another TTL would distinguish the two cases.
 Nanos ClientTtlPolicy::expected_time_of_use(const Client& client, Ttl ttl) {
   return std::max(nanos(seconds(ttl) * client.ttl_multiple), Nanos(ttl) + client.max_lateness);
 }
 
-// Empty if the client is expected to use even an answer of the lowest TTL for too long.
+// Returns the maximum TTL for the client's answers. Empty if the client is expected to use even an answer
+// with the minimum TTL for too long.
 std::optional<Ttl> ClientTtlPolicy::max_ttl_for(const Client& client) const {
   for (Ttl ttl = max_ttl_; ttl >= kMinTtl; ttl -= Ttl{1}) {
     if (expected_time_of_use(client, ttl) <= max_time_of_use_) return ttl;
@@ -64,8 +66,8 @@
   return std::nullopt;
 }
 
-// Learns from an answer that was in use until the client queried again.
-void ClientTtlPolicy::note_time_of_use(Client& client, const Answer& answer, Nanos time_of_use) const {
+// Updates the client's record with an answer that the client used until its next query.
+void ClientTtlPolicy::record_time_of_use(Client& client, const Answer& answer, Nanos time_of_use) const {
   const Nanos lateness = time_of_use - Nanos(answer.ttl) - kToleratedLateness;
   client.max_lateness = std::max(client.max_lateness, lateness);
   const double ttl_multiple = seconds(time_of_use - kToleratedLateness) / seconds(answer.ttl);
@@ -87,22 +89,23 @@
   const auto known = clients_.find(id);
   if (known == clients_.end()) return {};
   Client& client = known->second;
-  // A clock that went back must not make an answer look young.
+  // A clock that goes back must not make an answer appear newer than it is.
   const Nanos query_time = std::max(now, client.last_seen);
   decay_memory(query_time, client);
   client.last_seen = query_time;
 
   const auto last = client.last_answers.find(cls);
   const bool is_first = last == client.last_answers.end();
-  // A query before the TTL ended shows nothing: it may be another reader of the same answer, or a retry.
+  // A query before the end of the TTL gives no evidence: it may be a retry, or from another user of the same
+  // answer.
   const bool is_over = !is_first && query_time >= last->second.sent_at + Nanos(last->second.ttl);
-  if (is_over) note_time_of_use(client, last->second, query_time - last->second.sent_at);
+  if (is_over) record_time_of_use(client, last->second, query_time - last->second.sent_at);
 
   const std::optional<Ttl> max_ttl = max_ttl_for(client);
   const bool gets_replicas = max_ttl && is_proven(client);
   TtlDecision decision;
   decision.service = gets_replicas ? ClientService::replicas : ClientService::proxies;
-  // While a client has to prove itself, only short answers show anything soon.
+  // A client that must still prove itself gets the minimum TTL, because short answers give evidence sooner.
   decision.ttl = gets_replicas ? *max_ttl : kMinTtl;
   decision.client_joined = gets_replicas && !client.joined;
   decision.client_left = !gets_replicas && client.joined;
@@ -116,18 +119,18 @@
   if (known != clients_.end()) known->second.last_seen = std::max(now, known->second.last_seen);
 }
 
-// When the client has left, unless it is seen again before.
+// Returns the time at which the client will count as having left, unless it sends a query or a report before.
 Nanos ClientTtlPolicy::silent_at(const Client& client) const {
   Nanos time = client.last_seen + silence_timeout_;
-  // It could use its last answers beyond the timeout.
+  // The client could still use its last answers after the silence timeout.
   for (const auto& [cls, answer] : client.last_answers) {
     time = std::max(time, answer.sent_at + expected_time_of_use(client, answer.ttl));
   }
   return time;
 }
 
-// A cache may hold an answer for longer than the silence timeout. So a client that returns from a silence,
-// trusted or not, has to prove itself again, which takes a few seconds.
+// A cache may keep an answer for longer than the silence timeout. Therefore any client that returns after the
+// silence timeout, even a trusted client, must prove itself again, which takes a few seconds.
 std::vector<ProxyId> ClientTtlPolicy::take_silent(Nanos now) {
   std::vector<ProxyId> left;
   for (auto& [id, client] : clients_) {
--- a/src/dns/client_ttl_policy.h
+++ b/src/dns/client_ttl_policy.h
@@ -1,10 +1,11 @@
-/// Which DNS clients can be answered with replicas, and with which TTL. Free of I/O.
+/// The client TTL policy decides which DNS clients are answered with replicas, and with which TTL. Free of
+/// I/O.
 ///
-/// A client is expected to query again as soon as the TTL of its answer is over. How late it does so shows
-/// for how long it, or a cache on the way, uses an answer. A client that uses answers for longer than the
-/// drain grace permits could send requests to a replica that is shut down; it is answered with fallback
-/// proxies only. A client that the operator does not declare trusted has to prove first that it queries in
-/// time, on answers that can do no harm.
+/// A client is expected to query again as soon as the TTL of its answer has expired. A late query shows that
+/// the client, or a cache between the client and the server, uses answers for longer than their TTL. A client
+/// that uses answers for longer than the drain grace permits could send requests to a replica that has been
+/// shut down, so such a client is answered with fallback proxies only. A client that the operator has not
+/// declared trusted must first prove that it queries in time; until then, its answers contain no replicas.
 #pragma once
 
 #include <chrono>
@@ -17,50 +18,56 @@
 
 namespace ospreypost::dns {
 
-/// The time to live of a DNS record, in whole seconds.
+/// Time to live of a DNS record, in whole seconds.
 using Ttl = std::chrono::duration<std::uint32_t>;
 
-/// What bounds the time for which an answer may be used.
+/// Limits that determine for how long a client may use an answer.
 struct ClientTtlLimits {
-  Nanos drain_grace{};        ///< from when a replica's draining is notified to its last request
-  Nanos endpoint_list_lag{};  ///< the delay until the endpoint list is read
-  Nanos answer_delay{};       ///< from the making of an answer to its first use, and of the query after it
-  Nanos silence_timeout{};    ///< without a query or a report, after which a client has left; at least 1 s
-  Ttl max_ttl{};              ///< of any answer; at least 1 s
+  Nanos drain_grace{};        ///< time from the notice that a replica is draining to its last request
+  Nanos endpoint_list_lag{};  ///< delay from a change of the endpoint list until the list is read
+  /// Delay from the creation of an answer to its first use, plus the delay of the client's next query.
+  Nanos answer_delay{};
+  /// Time without a query or a report after which a client counts as having left; at least 1 s.
+  Nanos silence_timeout{};
+  Ttl max_ttl{};  ///< maximum TTL of an answer; at least 1 s
 };
 
-/// Whether the drain grace is long enough for the lowest TTL, 1 s.
+/// Whether the drain grace is long enough for answers with the minimum TTL, 1 s.
 bool grace_permits_min_ttl(const ClientTtlLimits& limits);
 
-/// What a client is answered with.
+/// Content of the answers to a client.
 enum class ClientService {
-  unknown,   ///< nothing: there is no such client
-  proxies,   ///< fallback proxies; an empty answer while there are none
-  replicas,  ///< its own routing table
+  unknown,   ///< no content: the client is not known
+  proxies,   ///< fallback proxies; the answer is empty if there are none
+  replicas,  ///< the client's own routing table
 };
 
-/// What a query is answered with, and whether the client joins or leaves by it.
+/// Content and TTL of the answer to one query, and whether the client joins or leaves with the query.
 struct TtlDecision {
   ClientService service = ClientService::unknown;
   Ttl ttl{1};
-  bool client_joined = false;  ///< with this query
-  bool client_left = false;    ///< it had joined, and uses answers for too long
+  bool client_joined = false;  ///< the client joined with this query
+  bool client_left = false;    ///< the client had joined, and now leaves because it uses answers for too long
 };
 
-/// Not synchronised: the owner calls it under a lock.
+/// Not thread-safe: callers must hold a lock.
 class ClientTtlPolicy {
  public:
   explicit ClientTtlPolicy(const ClientTtlLimits& limits);
 
-  /// `trusted`: the operator states that it queries the control plane without a cache between.
+  /// Adds a client. `trusted`: the operator declares that no cache is between the client and the control
+  /// plane.
   void add_known(ProxyId id, bool trusted);
-  /// Each class is a DNS name of its own, whose answer may be cached apart from the others.
+  /// Decides the answer to a client's query. Each request class has its own DNS name, so a cache may store
+  /// the answers for different classes separately.
   TtlDecision on_query(Nanos now, ProxyId id, ClassId cls);
-  /// A report of the client shows that it is alive. Does nothing for an unknown client.
+  /// Records a report from the client, which shows that the client is alive. Does nothing for an unknown
+  /// client.
   void on_report(Nanos now, ProxyId id);
-  /// The clients that have left by their silence since the last call, by ascending id.
+  /// Returns the joined clients that reached the silence timeout since the last call, by ascending id. These
+  /// clients have left.
   std::vector<ProxyId> take_silent(Nanos now);
-  /// Whether the client is answered with replicas, so that requests may be sent through it.
+  /// Whether the client has joined: its answers contain replicas, so requests may be sent through the client.
   bool is_joined(ProxyId id) const;
 
  private:
@@ -70,19 +77,19 @@
   };
   struct Client {
     bool trusted = false;
-    bool trust_suspended = false;  // after a silence, as nobody knows what it did meanwhile
+    bool trust_suspended = false;  // set by the silence timeout, until the client proves itself again
     bool joined = false;
-    int punctual_answers = 0;  // in a row, up to kRequiredPunctualAnswers
+    int punctual_answers = 0;  // consecutive punctual answers, at most kRequiredPunctualAnswers
     Nanos last_seen{};
     std::map<ClassId, Answer> last_answers;
-    // How long it uses answers, at the worst, with a decaying memory:
-    double ttl_multiple = 1;  // the time of use as a multiple of the TTL
-    Nanos max_lateness{};     // the time of use beyond the TTL
+    // Maximum observed times for which the client used an answer; both maxima decay over time.
+    double ttl_multiple = 1;  // maximum time of use as a multiple of the TTL
+    Nanos max_lateness{};     // maximum time of use beyond the TTL
     Nanos decayed_at{};
   };
 
   static void decay_memory(Nanos now, Client& client);
-  void note_time_of_use(Client& client, const Answer& answer, Nanos time_of_use) const;
+  void record_time_of_use(Client& client, const Answer& answer, Nanos time_of_use) const;
   static bool is_proven(const Client& client);
   static Nanos expected_time_of_use(const Client& client, Ttl ttl);
   std::optional<Ttl> max_ttl_for(const Client& client) const;
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -11,33 +11,34 @@
 namespace ospreypost::dns {
 namespace {
 
-constexpr std::size_t kHeader = 12;
-constexpr std::uint16_t kOwnBytes = 1232;  // that we take by UDP, as told to the asker
+constexpr std::size_t kHeaderBytes = 12;
+// Maximum size of a UDP question that this server accepts, as announced to clients.
+constexpr std::uint16_t kMaxReceivedUdpBytes = 1232;
 
 template <auto Free>
-struct Freed {
+struct Deleter {
   template <typename T>
-  void operator()(T* it) const {
-    Free(it);
+  void operator()(T* pointer) const {
+    Free(pointer);
   }
 };
-using Packet = std::unique_ptr<ldns_pkt, Freed<ldns_pkt_free>>;
-using Name = std::unique_ptr<ldns_rdf, Freed<ldns_rdf_deep_free>>;
-using Rr = std::unique_ptr<ldns_rr, Freed<ldns_rr_free>>;
+using Packet = std::unique_ptr<ldns_pkt, Deleter<ldns_pkt_free>>;
+using Name = std::unique_ptr<ldns_rdf, Deleter<ldns_rdf_deep_free>>;
+using Rr = std::unique_ptr<ldns_rr, Deleter<ldns_rr_free>>;
 
 Name name_of(const std::string& text) {
-  ldns_rdf* made = nullptr;
-  if (ldns_str2rdf_dname(&made, text.c_str()) != LDNS_STATUS_OK)
-    throw net::Error("'" + text + "' is no name");
-  return Name(made);
+  ldns_rdf* name = nullptr;
+  if (ldns_str2rdf_dname(&name, text.c_str()) != LDNS_STATUS_OK)
+    throw net::Error("'" + text + "' is not a valid DNS name");
+  return Name(name);
 }
 
 std::string text_of(const ldns_rdf* name) {
-  const std::unique_ptr<char, Freed<std::free>> text(ldns_rdf2str(name));
+  const std::unique_ptr<char, Deleter<std::free>> text(ldns_rdf2str(name));
   return text ? std::string(text.get()) : std::string();
 }
 
-std::string small(std::string text) {
+std::string to_lower(std::string text) {
   std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return std::tolower(c); });
   return text;
 }
@@ -81,7 +82,7 @@
   Rr operator()(const Txt& txt) const {
     auto rr = empty_rr(owner, ttl, LDNS_RR_TYPE_TXT);
     for (const auto& string : txt.strings) {
-      if (string.size() > 255) throw net::Error("a text of more than 255 bytes");
+      if (string.size() > 255) throw net::Error("a string of a TXT record is longer than 255 bytes");
       std::string bytes(1, static_cast<char>(string.size()));
       bytes += string;
       ldns_rr_push_rdf(rr.get(), ldns_rdf_new_frm_data(LDNS_RDF_TYPE_STR, bytes.size(), bytes.data()));
@@ -106,8 +107,7 @@
 
 void push(ldns_pkt* packet, ldns_pkt_section section, std::span<const Record> records) {
   for (const auto& record : records) {
-    ldns_pkt_push_rr(packet, section,
-                     std::visit(Writer{record.owner, record.ttl}, record.data).release());
+    ldns_pkt_push_rr(packet, section, std::visit(Writer{record.owner, record.ttl}, record.data).release());
   }
 }
 
@@ -117,14 +117,14 @@
   ldns_pkt_set_qr(packet.get(), true);
   ldns_pkt_set_aa(packet.get(), authoritative);
   ldns_pkt_set_rd(packet.get(), question.recursion_desired);
-  const auto whole = static_cast<std::uint16_t>(code);
-  ldns_pkt_set_rcode(packet.get(), static_cast<std::uint8_t>(whole & 15));
+  const auto rcode = static_cast<std::uint16_t>(code);
+  ldns_pkt_set_rcode(packet.get(), static_cast<std::uint8_t>(rcode & 15));
   if (question.has_edns) {
-    ldns_pkt_set_edns_udp_size(packet.get(), kOwnBytes);
-    ldns_pkt_set_edns_extended_rcode(packet.get(), static_cast<std::uint8_t>(whole >> 4));
+    ldns_pkt_set_edns_udp_size(packet.get(), kMaxReceivedUdpBytes);
+    ldns_pkt_set_edns_extended_rcode(packet.get(), static_cast<std::uint8_t>(rcode >> 4));
   }
-  if (!question.asked.empty()) {
-    auto rr = empty_rr(question.asked, 0, static_cast<ldns_rr_type>(question.type));
+  if (!question.name_as_sent.empty()) {
+    auto rr = empty_rr(question.name_as_sent, 0, static_cast<ldns_rr_type>(question.type));
     ldns_rr_set_question(rr.get(), true);
     ldns_pkt_push_rr(packet.get(), LDNS_SECTION_QUESTION, rr.release());
   }
@@ -135,8 +135,8 @@
   std::uint8_t* wire = nullptr;
   std::size_t size = 0;
   if (ldns_pkt2wire(&wire, packet.get(), &size) != LDNS_STATUS_OK)
-    throw net::Error("an answer that does not fit");
-  const std::unique_ptr<std::uint8_t, Freed<std::free>> owned(wire);
+    throw net::Error("cannot encode a DNS message");
+  const std::unique_ptr<std::uint8_t, Deleter<std::free>> owned(wire);
   return Bytes(wire, wire + size);
 }
 
@@ -148,16 +148,16 @@
 
 std::optional<Record> record_of(const ldns_rr* rr) {
   Record record{text_of(ldns_rr_owner(rr)), ldns_rr_ttl(rr), net::Address{}};
-  const auto rdf = [&](std::size_t n) { return ldns_rr_rdf(rr, n); };
-  const auto has = [&](std::size_t n) { return ldns_rr_rd_count(rr) == n; };
+  const auto rdf = [&](std::size_t index) { return ldns_rr_rdf(rr, index); };
+  const auto has_rdata_count = [&](std::size_t count) { return ldns_rr_rd_count(rr) == count; };
   switch (ldns_rr_get_type(rr)) {
     case LDNS_RR_TYPE_A:
     case LDNS_RR_TYPE_AAAA:
-      if (!has(1)) return std::nullopt;
+      if (!has_rdata_count(1)) return std::nullopt;
       record.data = net::Address{text_of(rdf(0)), 0};
       return record;
     case LDNS_RR_TYPE_SRV:
-      if (!has(4)) return std::nullopt;
+      if (!has_rdata_count(4)) return std::nullopt;
       record.data = Srv{ldns_rdf2native_int16(rdf(0)), ldns_rdf2native_int16(rdf(1)),
                         ldns_rdf2native_int16(rdf(2)), text_of(rdf(3))};
       return record;
@@ -171,7 +171,7 @@
       return record;
     }
     case LDNS_RR_TYPE_SOA: {
-      if (!has(7)) return std::nullopt;
+      if (!has_rdata_count(7)) return std::nullopt;
       Soa soa{text_of(rdf(0)), text_of(rdf(1))};
       soa.serial = ldns_rdf2native_int32(rdf(2));
       soa.minimum = ldns_rdf2native_int32(rdf(6));
@@ -179,7 +179,7 @@
       return record;
     }
     case LDNS_RR_TYPE_NS:
-      if (!has(1)) return std::nullopt;
+      if (!has_rdata_count(1)) return std::nullopt;
       record.data = Ns{text_of(rdf(0))};
       return record;
     default:
@@ -198,48 +198,48 @@
 }  // namespace
 
 std::optional<Question> read_question(std::span<const std::uint8_t> wire) {
-  if (wire.size() < kHeader || (wire[2] & 0x80) != 0) return std::nullopt;
+  if (wire.size() < kHeaderBytes || (wire[2] & 0x80) != 0) return std::nullopt;
   Question question;
   question.id = static_cast<std::uint16_t>(wire[0] << 8 | wire[1]);
   question.recursion_desired = (wire[2] & 1) != 0;
   if ((wire[2] >> 3 & 15) != 0) {
-    question.fault = Code::not_implemented;
+    question.error = Code::not_implemented;
     return question;
   }
-  question.fault = Code::format_error;
+  question.error = Code::format_error;
   const auto packet = parse(wire);
   if (!packet || ldns_pkt_qdcount(packet.get()) != 1) return question;
   const auto* asked = ldns_rr_list_rr(ldns_pkt_question(packet.get()), 0);
-  question.fault = Code::ok;
-  question.asked = text_of(ldns_rr_owner(asked));
-  question.name = small(question.asked);
+  question.error = Code::ok;
+  question.name_as_sent = text_of(ldns_rr_owner(asked));
+  question.name = to_lower(question.name_as_sent);
   question.type = static_cast<Type>(ldns_rr_get_type(asked));
   question.has_edns = ldns_pkt_edns(packet.get());
   if (question.has_edns) {
-    question.udp_bytes = std::max<std::size_t>(512, ldns_pkt_edns_udp_size(packet.get()));
-    if (ldns_pkt_edns_version(packet.get()) != 0) question.fault = Code::bad_version;
+    question.max_udp_bytes = std::max<std::size_t>(512, ldns_pkt_edns_udp_size(packet.get()));
+    if (ldns_pkt_edns_version(packet.get()) != 0) question.error = Code::bad_version;
   }
   const auto cls = ldns_rr_get_class(asked);
-  if (cls != LDNS_RR_CLASS_IN && cls != LDNS_RR_CLASS_ANY) question.fault = Code::refused;
+  if (cls != LDNS_RR_CLASS_IN && cls != LDNS_RR_CLASS_ANY) question.error = Code::refused;
   return question;
 }
 
-Bytes write_reply(const Question& question, const Reply& reply, std::size_t most_bytes) {
-  const auto with = [&](std::size_t additional) {
+Bytes write_reply(const Question& question, const Reply& reply, std::size_t max_bytes) {
+  const auto encode_with = [&](std::size_t additional) {
     const auto packet = packet_for(question, reply.code, reply.authoritative);
     push(packet.get(), LDNS_SECTION_ANSWER, reply.answers);
     push(packet.get(), LDNS_SECTION_AUTHORITY, reply.authority);
     push(packet.get(), LDNS_SECTION_ADDITIONAL, std::span(reply.additional).first(additional));
     return wire_of(packet);
   };
-  // Addresses can be asked for by themselves or over TCP; the first additional record says what nothing else
-  // does.
+  // A client can query addresses separately or over TCP, so they are left out first. The first additional
+  // record may be the traffic policy, which a client would otherwise miss.
   for (const auto additional : {reply.additional.size(), std::min<std::size_t>(1, reply.additional.size())}) {
-    auto wire = with(additional);
-    if (wire.size() <= most_bytes) return wire;
+    auto wire = encode_with(additional);
+    if (wire.size() <= max_bytes) return wire;
   }
-  auto wire = with(0);
-  return wire.size() <= most_bytes ? wire : write_truncated(question);
+  auto wire = encode_with(0);
+  return wire.size() <= max_bytes ? wire : write_truncated(question);
 }
 
 Bytes write_truncated(const Question& question) {
@@ -261,7 +261,7 @@
 
 Answer read_answer(std::span<const std::uint8_t> wire) {
   const auto packet = parse(wire);
-  if (!packet) throw net::Error("no DNS message");
+  if (!packet) throw net::Error("the answer is not a valid DNS message");
   Answer answer;
   answer.id = ldns_pkt_id(packet.get());
   answer.code =
@@ -269,7 +269,7 @@
   answer.truncated = ldns_pkt_tc(packet.get());
   answer.authoritative = ldns_pkt_aa(packet.get());
   const auto* asked = ldns_rr_list_rr(ldns_pkt_question(packet.get()), 0);
-  if (asked) answer.asked = text_of(ldns_rr_owner(asked));
+  if (asked) answer.question_name = text_of(ldns_rr_owner(asked));
   answer.answers = records_of(ldns_pkt_answer(packet.get()));
   answer.authority = records_of(ldns_pkt_authority(packet.get()));
   answer.additional = records_of(ldns_pkt_additional(packet.get()));
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -1,4 +1,5 @@
-// DNS messages by the published specifications (RFC 1035, 2308, 2782, 6891), read and written by ldns.
+// DNS messages according to the published specifications (RFC 1035, 2308, 2782, 6891), parsed and encoded
+// with ldns.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
   ok = 0,
   format_error = 1,
   server_failure = 2,
-  no_name = 3,
+  name_error = 3,
   not_implemented = 4,
   refused = 5,
   bad_version = 16,
@@ -28,16 +29,17 @@
 struct Question {
   std::uint16_t id = 0;
   bool recursion_desired = false;
-  Code fault = Code::ok;  // what it must be refused with before its name is looked at
-  std::string asked;      // the name in the asker's letters, as text with its closing dot
-  std::string name;       // in small letters
+  Code error = Code::ok;     // the question must be answered with this code unless it is `ok`
+  std::string name_as_sent;  // name with the client's upper and lower case, with the trailing dot
+  std::string name;          // name in lower case
   Type type = Type::a;
   bool has_edns = false;
-  std::size_t udp_bytes = 512;  // that the asker takes; 512 without EDNS
+  std::size_t max_udp_bytes = 512;  // maximum size of a UDP answer that the client accepts; 512 without EDNS
 };
 
-// Empty where nothing may be answered: too short for an id, or itself an answer. A question that cannot be
-// read, but for its id, comes with its fault.
+// Parses a question. Empty if the message must not be answered, because it is shorter than a header or is
+// itself an answer. The `error` of the returned question is set if only the header can be
+// parsed, or if the question asks for something that is not supported.
 std::optional<Question> read_question(std::span<const std::uint8_t> wire);
 
 struct Srv {
@@ -45,7 +47,7 @@
   std::string target;
 };
 struct Txt {
-  std::vector<std::string> strings;  // each of at most 255 bytes
+  std::vector<std::string> strings;  // strings of at most 255 bytes each
 };
 struct Soa {
   std::string server, contact;
@@ -54,10 +56,10 @@
 struct Ns {
   std::string server;
 };
-// An address: A or AAAA by its family.
+// A resource record. An address is encoded as an A or AAAA record, depending on its family.
 struct Record {
   std::string owner;
-  std::uint32_t ttl = 0;  // seconds
+  std::uint32_t ttl = 0;  // time to live in seconds
   std::variant<net::Address, Srv, Txt, Soa, Ns> data;
 };
 
@@ -67,26 +69,27 @@
   std::vector<Record> answers, authority, additional;
 };
 
-// At most `most_bytes` long: the additional records but the first go, then that one, then the answer is
-// truncated to none, marked so.
-// Throws net::Error if a name or text in the reply is none.
-Bytes write_reply(const Question& question, const Reply& reply, std::size_t most_bytes);
-// The shortest answer that sends the asker to TCP.
+// Encodes a reply in at most `max_bytes`. If the reply is too long, first all additional records except the
+// first are left out, then the first one as well. If the reply is still too long, it is replaced by an empty
+// answer with the truncation flag. Throws net::Error if a name or a text in the reply is invalid.
+Bytes write_reply(const Question& question, const Reply& reply, std::size_t max_bytes);
+// Encodes an empty answer with the truncation flag, which makes the client repeat the question over TCP.
 Bytes write_truncated(const Question& question);
 
-// A question as a client sends it; for probes, stand-ins and tests.
+// Encodes a question as a client sends it; used by probes, fakes and tests.
 Bytes write_question(std::uint16_t id, const std::string& name, Type type,
                      std::optional<std::size_t> edns_bytes);
 
-// An answer as a client reads it.
+// A parsed answer, as a client receives it.
 struct Answer {
   std::uint16_t id = 0;
   Code code = Code::ok;
   bool truncated = false, authoritative = false;
-  std::string asked;
+  std::string question_name;
   std::vector<Record> answers, authority, additional;
 };
-// Throws net::Error if it is no DNS message. Records of other types are left out.
+// Parses an answer. Throws net::Error if `wire` is not a DNS message. Records whose type `Record` cannot
+// represent are left out.
 Answer read_answer(std::span<const std::uint8_t> wire);
 
 }  // namespace ospreypost::dns
--- a/src/dns/name_index.h
+++ b/src/dns/name_index.h
@@ -1,9 +1,9 @@
-// Which names the governor answers, and what stands behind each.
+// The name index maps each DNS name that the control plane instance answers to the target of the name.
 //
-//   _CLASS._tcp.PROXY.proxies.APEX   SRV, TXT   a proxy's own table of a class
-//   _CLASS._tcp.ZONE.zones.APEX      SRV        the plain proxies of a zone, for those that can only ask
-//   PROXY.proxies.APEX               A, AAAA    where a proxy takes operations of others
-//   REPLICA.replicas.APEX            A, AAAA    where a replica stands
+//   _CLASS._tcp.PROXY.proxies.APEX   SRV, TXT   the routing table of a proxy for a request class
+//   _CLASS._tcp.ZONE.zones.APEX      SRV        plain proxies of a zone, for clients that can only query
+//   PROXY.proxies.APEX               A, AAAA    address at which a proxy accepts requests of other clients
+//   REPLICA.replicas.APEX            A, AAAA    the address of a replica
 //   APEX                             SOA, NS
 #pragma once
 
@@ -33,20 +33,20 @@
   std::string replica;
 };
 struct Apex {};
-struct OwnHost {};           // the governor's own name
-struct EmptyNonTerminal {};  // no records of its own, but names below it (RFC 8020)
-struct NonexistentName {};   // does not exist
-struct OutOfZone {};         // not under the apex
+struct OwnHost {};           // the name of the control plane instance itself
+struct EmptyNonTerminal {};  // a name without records, but with names below it (RFC 8020)
+struct NonexistentName {};
+struct OutOfZone {};  // a name that is not below the apex
 using NameTarget = std::variant<OutOfZone, NonexistentName, EmptyNonTerminal, Apex, OwnHost, ProxyTable,
                                 ZoneProxies, ProxyHost, ReplicaHost>;
 
 class NameIndex {
  public:
-  // `apex` and `server` with their closing dots, in small letters.
+  // `apex` and `server`: names in lower case, with a trailing dot.
   NameIndex(std::string apex, std::string server, const std::vector<std::string>& zones,
             const std::vector<std::string>& classes, const std::vector<std::string>& proxies);
-  // Of a whole name in small letters with its closing dot.
-  NameTarget meaning_of(std::string_view name) const;
+  // Returns the target of a complete name, which is in lower case and has a trailing dot.
+  NameTarget target_of(std::string_view name) const;
   std::string proxy_host(ProxyId proxy) const { return proxies_.name(proxy) + ".proxies." + apex_; }
   std::string replica_host(std::string_view replica) const {
     return std::string(replica) + ".replicas." + apex_;
@@ -55,9 +55,9 @@
   const std::string& server() const { return server_; }
 
  private:
-  NameTarget below(std::string_view labels) const;
+  NameTarget target_below_apex(std::string_view labels) const;
   template <typename Make>
-  NameTarget service(std::string_view labels, Make make) const;
+  NameTarget service_target(std::string_view labels, Make make_target) const;
 
   std::string apex_, server_;
   discovery::NameTable<ZoneId> zones_;
--- a/src/dns/server.h
+++ b/src/dns/server.h
@@ -1,4 +1,4 @@
-// The DNS front's sockets: UDP by a few threads, TCP by a bounded number of connections.
+// The DNS server serves UDP with a fixed number of threads, and TCP with a bounded number of connections.
 #pragma once
 
 #include <atomic>
@@ -15,10 +15,10 @@
 
 class Server {
  public:
-  using Complain = std::function<void(const std::string&)>;
-  // Throws net::Error if the address cannot be had. With port 0 both protocols share a port of the system's
-  // choice. `complain` is called from any thread.
-  Server(const config::DnsFront& settings, Responder& responder, std::uint64_t seed, Complain complain);
+  using ErrorHandler = std::function<void(const std::string&)>;
+  // Throws net::Error if the address cannot be bound. With port 0, UDP and TCP use the same port, which the
+  // system chooses. `on_error` may be called from any thread.
+  Server(const config::DnsFront& settings, Responder& responder, std::uint64_t seed, ErrorHandler on_error);
   ~Server() { stop(); }
   net::Address address() const;
   void stop();
@@ -30,14 +30,14 @@
   void serve_connection(const net::Socket& socket);
 
   Responder& responder_;
-  const Complain complain_;
+  const ErrorHandler on_error_;
   std::atomic<bool> stopping_ = false;
-  std::mutex rate_lock_;
-  std::mt19937 chance_;
-  RateLimit rate_;
+  std::mutex rate_mutex_;
+  std::mt19937 rng_;
+  RateLimit rate_limit_;
   net::Socket udp_, tcp_;
-  net::ConnectionLimiter guests_;
-  net::ThreadPool connections_;
+  net::ConnectionLimiter connection_limiter_;
+  net::ThreadPool connection_threads_;
   std::vector<net::Thread> threads_;
 };
 
--- a/src/dns/srv_weights.h
+++ b/src/dns/srv_weights.h
@@ -1,4 +1,4 @@
-// The module's weights as the 16 bits of an SRV record.
+// Conversion of the weights of a routing table into the 16-bit weights of SRV records.
 #pragma once
 
 #include <cstdint>
@@ -6,9 +6,10 @@
 
 namespace ospreypost::dns {
 
-// Whole numbers of 1 to 65,535 whose sum is 65,535 exactly: by largest remainders, so that each share of the
-// sum is off by less than 1 in 65,535, and nothing above 0 vanishes. Equal weights differ by 1 at the most;
-// the earlier line takes it. Input: weights above 0, at most 65,535 of them.
+// Returns integers from 1 to 65,535 whose sum is exactly 65,535, computed by the largest remainder method.
+// The share of each weight in the sum is off by less than 1 in 65,535, and no weight becomes 0. The results
+// for equal weights differ by at most 1; the earlier entry gets the larger one. `weights`: at most 65,535
+// weights, all above 0.
 std::vector<std::uint16_t> to_srv_weights(const std::vector<double>& weights);
 
 }  // namespace ospreypost::dns
--- a/tests/program/client_ttl_policy_test.cpp
+++ b/tests/program/client_ttl_policy_test.cpp
@@ -1,4 +1,4 @@
-/// Which DNS clients are answered with replicas: caches of every kind, on generated clients.
+/// Tests which DNS clients are answered with replicas, on generated clients behind caches that extend TTLs.
 #include "dns/client_ttl_policy.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 constexpr Nanos kMaxTimeOfUse = 3s - 120ms;
 constexpr int kQueriesUntilProven = 3;
 
-/// How a cache changes the time for which an answer is used.
+/// A cache that extends the time for which its client uses an answer.
 struct CacheModel {
   double ttl_multiple = 1;
   Nanos extra{};
@@ -38,9 +38,9 @@
   return cache;
 }
 
-// An untrusted client never gets replicas on an answer that it uses for too long; a trusted one once, until
-// that shows.
-RC_GTEST_PROP(ClientTtlPolicyTest, AClientBehindALongCacheGetsNoReplicas, (bool trusted)) {
+// An untrusted client that uses answers for too long never gets replicas. A trusted client gets replicas
+// once, until its next query shows that it used the answer for too long.
+RC_GTEST_PROP(ClientTtlPolicyTest, AClientBehindACacheThatExtendsTtlsGetsNoReplicas, (bool trusted)) {
   ClientTtlPolicy policy(kLimits);
   policy.add_known(kClient, trusted);
   const CacheModel cache = random_cache();
@@ -87,7 +87,8 @@
     decision = policy.on_query(now, kClient, kClass);
     ++queries;
   }
-  // The memory of the lateness decays first, which takes minutes, not seconds.
+  // The client is proven again only after its remembered lateness has decayed, which takes minutes, not
+  // seconds.
   EXPECT_GT(queries, 60);
   EXPECT_LT(queries, 3600);
 }
@@ -101,7 +102,7 @@
   EXPECT_TRUE(policy.take_silent(18s).empty());
   EXPECT_EQ(policy.take_silent(19100ms), std::vector{kClient});
   EXPECT_TRUE(policy.take_silent(30s).empty());
-  // It may be behind a cache that holds answers for longer than the silence timeout.
+  // The client may be behind a cache that keeps answers for longer than the silence timeout.
   EXPECT_EQ(policy.on_query(40s, kClient, kClass).service, ClientService::proxies);
 }
 
@@ -115,7 +116,7 @@
   EXPECT_EQ(policy.on_query(100s + first.ttl, kClient, kClass).service, ClientService::replicas);
 }
 
-TEST(ClientTtlPolicyTest, TheAnswerOfEachClassIsWatchedByItself) {
+TEST(ClientTtlPolicyTest, TheAnswersForEachClassAreTrackedSeparately) {
   constexpr ClassId kOtherClass{1};
   ClientTtlPolicy policy(kLimits);
   policy.add_known(kClient, true);
@@ -123,7 +124,7 @@
   policy.on_query(10s, kClient, kOtherClass);
   policy.on_query(12s, kClient, kClass);
   policy.on_query(14s, kClient, kClass);
-  // The answer of the other class was in use all the while.
+  // The client used its answer for the other class from 10 s to 15 s, which is longer than the drain grace.
   EXPECT_EQ(policy.on_query(15s, kClient, kOtherClass).service, ClientService::proxies);
 }
 
