--- a/src/delivery/pull_service.h
+++ b/src/delivery/pull_service.h
@@ -22,7 +22,7 @@
   std::vector<FallbackProxy> fallback_proxies;
 };
 
-/// Implemented by the control plane; may be called from any thread.
+/// Implemented by the control plane. All functions may be called from any thread.
 class PullService {
  public:
   virtual ~PullService() = default;
--- a/src/delivery/push_service.h
+++ b/src/delivery/push_service.h
@@ -35,7 +35,7 @@
   virtual void on_push_available() = 0;
 };
 
-/// Implemented by the control plane; may be called from any thread.
+/// Implemented by the control plane. All functions may be called from any thread.
 class PushService {
  public:
   virtual ~PushService() = default;
--- a/src/dns/answer_cache.h
+++ b/src/dns/answer_cache.h
@@ -38,8 +38,7 @@
     Bytes answer;  // contains the id of the question for which the answer was made
   };
   explicit AnswerCache(std::size_t max_entries) : max_entries_(max_entries) {}
-  // Returns the answer cached for the same question bytes, ignoring the question's id. Null if none is
-  // cached.
+  // Returns the cached answer to the same question, compared without the id; null if no answer is cached.
   std::shared_ptr<const CachedAnswer> find(std::span<const std::uint8_t> question, bool over_tcp);
   void insert(std::span<const std::uint8_t> question, bool over_tcp, CachedAnswer cached_answer);
 
--- a/src/dns/client_ttl_policy.h
+++ b/src/dns/client_ttl_policy.h
@@ -1,5 +1,5 @@
-/// The client TTL policy decides which DNS clients are answered with replicas, and with which TTL. Free of
-/// I/O.
+/// The client TTL policy decides which DNS clients are answered with replicas, and with which TTL. The policy
+/// does no I/O.
 ///
 /// A client is expected to query again as soon as the TTL of its answer has expired. A late query shows that
 /// the client, or a cache between the client and the server, uses answers for longer than their TTL. A client
@@ -50,7 +50,7 @@
   bool client_left = false;    ///< the client had joined, and now leaves because it uses answers for too long
 };
 
-/// Not thread-safe: callers must hold a lock.
+/// This class is not thread-safe: its callers must hold a lock.
 class ClientTtlPolicy {
  public:
   explicit ClientTtlPolicy(const ClientTtlLimits& limits);
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -38,8 +38,8 @@
 };
 
 // Parses a question. Empty if the message must not be answered, because it is shorter than a header or is
-// itself an answer. The `error` of the returned question is set if only the header can be
-// parsed, or if the question asks for something that is not supported.
+// itself an answer. The `error` of the returned question is set if only the header can be parsed, or if the
+// question asks for something that is not supported.
 std::optional<Question> read_question(std::span<const std::uint8_t> wire);
 
 struct Srv {
--- a/src/routing_state/lease_table.h
+++ b/src/routing_state/lease_table.h
@@ -5,10 +5,10 @@
 /// one of them wins, regardless of the order in which their messages arrive. The other process learns that it
 /// lost from its next push or liveness check, and stops pushing to the proxy.
 ///
-/// A process claims a proxy when it first observes the proxy, with an epoch above the stored one: the process
-/// that was started last is the one that the operators intend to use, even if the wall clock went back
-/// between two starts. Later, the process claims the proxy again only if the lease of the stored table has
-/// expired.
+/// A process claims a proxy when the process first observes the proxy. The new epoch is above the stored one
+/// even if the wall clock went back between two starts, because the process that was started last is the one
+/// that the operators intend to use. Later, the process claims the proxy again only if the lease of the
+/// stored table has expired.
 #pragma once
 
 #include <cstdint>
@@ -33,7 +33,7 @@
   std::vector<std::string> rolled_back_to;
 };
 
-/// Not thread-safe: callers must hold a lock.
+/// This class is not thread-safe: its callers must hold a lock.
 class LeaseTable {
  public:
   /// `first_epoch`: lowest epoch of the first claim on a proxy. `owner`: unique name of this process.
@@ -55,7 +55,7 @@
  private:
   const std::uint64_t first_epoch_;
   const std::string owner_;
-  std::map<ProxyId, std::uint64_t> epochs_;  // own epoch for each observed proxy
+  std::map<ProxyId, std::uint64_t> epochs_;  // epoch of this process for each observed proxy
 };
 
 }  // namespace ospreypost::routing_state
--- a/src/routing_state/pull_delivery.h
+++ b/src/routing_state/pull_delivery.h
@@ -28,7 +28,7 @@
   Nanos window{};
 };
 
-/// Not thread-safe: callers must hold a lock.
+/// This class is not thread-safe: its callers must hold a lock.
 class PullDelivery {
  public:
   explicit PullDelivery(const ChannelLimits& limits);
--- a/src/routing_state/push_scheduler.cpp
+++ b/src/routing_state/push_scheduler.cpp
@@ -54,7 +54,7 @@
   const auto has_stored = [&](const std::shared_ptr<const ProxySnapshot>& proxy_snapshot) {
     return version ? proxy_snapshot && proxy_snapshot->changed_in == *version : !proxy_snapshot;
   };
-  // Until this process has sent its first push, the proxy may have any stored table.
+  // Until this process has sent its first push, a stored table of any version is accepted.
   const bool was_sent_nothing = !proxy.confirmed && !proxy.sent;
   if (proxy.joined && (was_sent_nothing || has_stored(proxy.confirmed) || has_stored(proxy.sent))) {
     on_confirmed(now, id, {});
@@ -197,7 +197,8 @@
     wake_up = std::max(wake_up, proxy.last_response + limits_.liveness_interval);
   }
   if (has_change && !is_urgent) wake_up = std::max(wake_up, channel_free_at_);
-  // A push that is not delayed for any other reason waits for a token.
+  // If no other condition delays the push, the push waits for a token, so the scheduler checks again after a
+  // fixed interval.
   return wake_up <= now ? now + kTokenCheckInterval : wake_up;
 }
 
--- a/src/routing_state/push_scheduler.h
+++ b/src/routing_state/push_scheduler.h
@@ -36,12 +36,13 @@
 /// A table update or a liveness check that is to be sent to a proxy now.
 struct PendingPush {
   ProxyId proxy{};
-  std::shared_ptr<const ProxySnapshot> proxy_snapshot;  ///< null: the push is a liveness check
+  /// Configuration to send; null if the push is a liveness check.
+  std::shared_ptr<const ProxySnapshot> proxy_snapshot;
   bool overrides_rollback = false;  ///< the push replaces tables that an operator rolled back
 };
 
-/// Not thread-safe: callers must hold a lock. `on_joined`, `on_liveness` and `on_rollback` throw
-/// std::out_of_range for a proxy that was not added.
+/// This class is not thread-safe: its callers must hold a lock. `on_joined`, `on_liveness` and `on_rollback`
+/// throw std::out_of_range for a proxy that was not added.
 class PushScheduler {
  public:
   explicit PushScheduler(const PushLimits& limits);
@@ -118,7 +119,9 @@
   enum class Priority { urgent_change, first_table, normal_change, liveness_check };
   struct Rank {
     Priority priority{};
-    Nanos since{};  // among pushes of equal priority, the oldest is sent first
+    // Start of the urgency, or time of the proxy's last response. Among pushes of equal priority, the one
+    // with the earliest time is sent first.
+    Nanos since{};
     bool goes_before(const Rank& other) const;
   };
 
--- a/src/routing_state/routing_state.h
+++ b/src/routing_state/routing_state.h
@@ -14,7 +14,7 @@
 
 namespace ospreypost::routing_state {
 
-/// Not thread-safe: callers must hold the lock that serialises the controller's events.
+/// This class is not thread-safe: its callers must hold the lock that serialises the controller's events.
 class RoutingState {
  public:
   /// `class_count`: number of request classes.
--- a/src/routing_state/send_queue.cpp
+++ b/src/routing_state/send_queue.cpp
@@ -7,7 +7,7 @@
 void SendQueue::add(std::size_t changed_entries, const ProxySnapshot& latest, double message_overhead,
                     SendQueueTotals& totals) {
   const double complete = message_overhead + static_cast<double>(entry_count(latest));
-  // If entries are already pending, they form one message whose overhead was added with the first of them.
+  // Pending entries are sent as one message, so the overhead is added only with the first pending change.
   const double overhead = entries_ > 0 ? 0 : message_overhead;
   const double added = static_cast<double>(changed_entries) + overhead;
   set(std::min(complete, entries_ + added), totals);
