--- a/src/control_plane/pull_proxies.cpp
+++ b/src/control_plane/pull_proxies.cpp
@@ -68,7 +68,7 @@
 
 void PullProxies::request_acknowledgement(Nanos now, const RequestAcknowledgement& request,
                                           const routing_state::RoutingSnapshot& snapshot) {
-  const auto proxies = snapshot.acknowledgement_recipients(request.reach_all);
+  const auto proxies = snapshot.acknowledgement_recipients(request.all_proxies);
   const std::lock_guard lock(delivery_mutex_);
   delivery_.request_acknowledgement(now, request.request, snapshot.version, proxies);
 }
--- a/src/policy/action_sink.h
+++ b/src/policy/action_sink.h
@@ -26,8 +26,8 @@
   void set_admitted_fraction(TableId table, ClassMask classes, double fraction, RetryMode retry) {
     on_action(SetAdmittedFraction{table, classes, fraction, retry});
   }
-  void request_acknowledgement(AckRequestId request, bool reach_all) {
-    on_action(RequestAcknowledgement{request, reach_all});
+  void request_acknowledgement(AckRequestId request, bool all_proxies) {
+    on_action(RequestAcknowledgement{request, all_proxies});
   }
   void start_timer(Nanos delay, TimerId timer) { on_action(StartTimer{delay, timer}); }
   void watch_endpoint_list(bool enabled) { on_action(WatchEndpointList{enabled}); }
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -44,7 +44,7 @@
 /// Proxies answer once they have applied all that was sent before.
 struct RequestAcknowledgement {
   AckRequestId request{};
-  bool reach_all = false;  ///< also those to whom nothing else is sent
+  bool all_proxies = false;  ///< also those to whom nothing else is sent
 };
 
 struct StartTimer {
--- a/src/record/action_encoder.cpp
+++ b/src/record/action_encoder.cpp
@@ -44,7 +44,7 @@
 void encode(const RequestAcknowledgement& action, kept::Order& encoded_action) {
   auto& encoded = *encoded_action.mutable_mark();
   encoded.set_mark(id_number(action.request));
-  encoded.set_reach_all(action.reach_all);
+  encoded.set_reach_all(action.all_proxies);
 }
 
 void encode(const StartTimer& action, kept::Order& encoded_action) {
--- a/src/routing_state/routing_snapshot.cpp
+++ b/src/routing_state/routing_snapshot.cpp
@@ -55,10 +55,10 @@
   return false;
 }
 
-std::vector<ProxyId> RoutingSnapshot::acknowledgement_recipients(bool reach_all) const {
+std::vector<ProxyId> RoutingSnapshot::acknowledgement_recipients(bool all_proxies) const {
   std::vector<ProxyId> recipients;
   for (const auto& [proxy, proxy_snapshot] : proxy_snapshots) {
-    if (reach_all || proxy_snapshot->changed_in == version) recipients.push_back(proxy);
+    if (all_proxies || proxy_snapshot->changed_in == version) recipients.push_back(proxy);
   }
   return recipients;
 }
--- a/src/routing_state/routing_snapshot.h
+++ b/src/routing_state/routing_snapshot.h
@@ -64,9 +64,9 @@
   /// By ascending proxy. Proxies that are bound to no table yet are left out.
   std::vector<ProxySnapshotEntry> proxy_snapshots;
 
-  /// Whom an acknowledgement request made with this version goes to: all proxies if `reach_all`, else those
+  /// Whom an acknowledgement request made with this version goes to: all proxies if `all_proxies`, else those
   /// that this version changed. By ascending proxy.
-  std::vector<ProxyId> acknowledgement_recipients(bool reach_all) const;
+  std::vector<ProxyId> acknowledgement_recipients(bool all_proxies) const;
 
   /// Null for a proxy that has not joined or is bound to no table yet.
   std::shared_ptr<const ProxySnapshot> snapshot_of(ProxyId proxy) const;
--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -114,9 +114,9 @@
         pull_delivery_.on_published(now, pending.proxy, version_->snapshot_of(pending.proxy),
                                     pending.entries);
     }
-    for (const auto& [mark, reach_all] : std::exchange(marks_, {}))
+    for (const auto& [mark, all_proxies] : std::exchange(marks_, {}))
       pull_delivery_.request_acknowledgement(now, mark, version_->version,
-                                             version_->acknowledgement_recipients(reach_all));
+                                             version_->acknowledgement_recipients(all_proxies));
   }
 
   using ActionHandler::handle;
@@ -135,7 +135,7 @@
     routing_state_.set_admitted_fraction(action.table, action.classes, action.fraction, action.retry);
   }
   void handle(const RequestAcknowledgement& action) override {
-    marks_.emplace_back(action.request, action.reach_all);
+    marks_.emplace_back(action.request, action.all_proxies);
   }
   void handle(const StartTimer& action) override {
     clock_.at(clock_.now() + action.delay, [this, timer = action.timer, alive = std::weak_ptr<int>(alive_)] {
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -37,7 +37,7 @@
                   action.retry, action.table);
   }
   void handle(const RequestAcknowledgement& action) override {
-    reply_.record(ActionCode::mark, static_cast<std::uint8_t>(action.reach_all), action.request);
+    reply_.record(ActionCode::mark, static_cast<std::uint8_t>(action.all_proxies), action.request);
   }
   void handle(const StartTimer& action) override {
     reply_.record(ActionCode::arm, static_cast<double>(action.delay.count()) / 1e9, action.timer);
