--- a/src/policy/action_sink.h
+++ b/src/policy/action_sink.h
@@ -1,4 +1,4 @@
-/// The interfaces by which the controller's actions leave it.
+/// The interfaces through which the controller issues its actions.
 #pragma once
 
 #include <optional>
@@ -9,15 +9,15 @@
 
 namespace ospreypost {
 
-/// Receives the controller's actions. They take effect in the order made; all actions of one call on the
-/// controller travel together, as one message for each proxy concerned. What passes actions on implements
-/// this interface.
+/// Receives the controller's actions; transports, recorders and tests implement this interface.
+/// Actions take effect in the order of the calls on this interface.
+/// All actions of one call on the controller are sent together, as one message to each proxy concerned.
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
   virtual void on_action(const Action& action) = 0;
 
-  // The same, for those who make them.
+  // Shorthands for the decision module: each builds one action and passes it to on_action().
   void set_table_entry(TableId table, ReplicaId replica, double weight) {
     on_action(SetTableEntry{table, replica, weight});
   }
@@ -35,7 +35,7 @@
   void log(std::string_view text) { on_action(LogLine{text}); }
 };
 
-/// An action sink with one function for each action; what it does not override is ignored.
+/// An action sink with one virtual function per action type; a function that is not overridden does nothing.
 class ActionHandler : public ActionSink {
  public:
   void on_action(const Action& action) final {
--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -1,4 +1,4 @@
-/// What the controller can do: one type for each action.
+/// The actions of the controller, with one type for each action.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace ospreypost {
 
-/// Weight 0 removes the entry.
+/// Sets the weight of a replica in a routing table; weight 0 removes the entry.
 struct SetTableEntry {
   TableId table{};
   ReplicaId replica{};
@@ -20,20 +20,20 @@
   TableId table{};
 };
 
-/// From now on the proxy sends requests of these classes by that table.
+/// Makes a proxy route its requests of the given classes by the given table from now on.
 struct BindProxy {
   ProxyId proxy{};
   TableId table{};
   ClassMask classes = 0;
 };
 
-/// No proxy may send to an ejected replica, whatever its tables say.
+/// Ejects a replica or ends its ejection. Proxies send nothing to an ejected replica, whatever its weight.
 struct SetEjected {
   ReplicaId replica{};
   bool ejected = false;
 };
 
-/// Of the requests that come, proxies admit this fraction, from 0 to 1.
+/// Sets the fraction, from 0 to 1, of arriving requests that proxies admit, and when they may retry.
 struct SetAdmittedFraction {
   TableId table{};
   ClassMask classes = 0;
@@ -41,10 +41,10 @@
   RetryMode retry = RetryMode::none;
 };
 
-/// Proxies answer once they have applied all that was sent before.
+/// Requests an acknowledgement from proxies once they have applied all messages sent before this request.
 struct RequestAcknowledgement {
   AckRequestId request{};
-  bool all_proxies = false;  ///< also those to whom nothing else is sent
+  bool all_proxies = false;  ///< if false, only proxies that are sent other actions of the same call respond
 };
 
 struct StartTimer {
@@ -62,15 +62,15 @@
   ReplicaId replica{};
 };
 
-/// Only carried because the simulator's protocol has it.
+/// A message to other instances. The controller never sends one; the simulator's protocol has this action.
 struct SendToPeer {
-  std::optional<PeerId> peer;  ///< absent: every peer
-  std::string_view message;    ///< valid during the call
+  std::optional<PeerId> peer;  ///< empty: all peers
+  std::string_view message;    ///< valid only during the call of ActionSink::on_action
 };
 
-/// One line for operators; replicas are named by number.
+/// One log line for operators. Replicas are named by their number.
 struct LogLine {
-  std::string_view text;  ///< valid during the call
+  std::string_view text;  ///< valid only during the call of ActionSink::on_action
 };
 
 using Action = std::variant<SetTableEntry, ClearTable, BindProxy, SetEjected, SetAdmittedFraction,
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -7,14 +7,15 @@
 namespace ospreypost::policy {
 namespace {
 
-// Of the work admitted, in one update.
+/// Maximum fraction of the admitted work that one update sheds.
 constexpr double kMaxShedFraction = 0.3;
+/// Maximum fraction of the demanded work that one update admits again.
 constexpr double kMaxReadmitFraction = 0.5;
-/// Attempts for one success from which nothing is retried.
+/// Attempts per success in any zone above which proxies may not retry.
 constexpr double kNoRetryAttempts = 1.6;
-/// Of the work asked for.
+/// Minimum fraction of the demanded work that is admitted.
 constexpr double kMinAdmittedWork = 0.25;
-/// Of the requests of any one class.
+/// Minimum fraction of the requests of each class that is admitted.
 constexpr double kMinAdmittedFraction = 0.1;
 
 std::vector<std::size_t> by_falling_priority(const Values& priorities) {
--- a/src/policy/admission_controller.h
+++ b/src/policy/admission_controller.h
@@ -1,4 +1,4 @@
-/// How much work is admitted, of which classes, and whether attempts may be retried.
+/// Decides how much work is admitted, which classes are shed first, and whether attempts may be retried.
 #pragma once
 
 #include "policy/fleet_statistics.h"
@@ -11,18 +11,21 @@
 class AdmissionController {
  public:
   explicit AdmissionController(const Settings& settings);
-  /// Guards against congestion that feeds itself: what is admitted shrinks at once and grows slowly.
+  /// Adjusts the admitted work and the retry mode to the state of the fleet.
+  /// Admitted work falls at once under overload and rises slowly afterwards, because a fast rise would let
+  /// failed and retried attempts sustain the congestion.
   void update(const FleetStatistics& fleet);
 
   RetryMode retry_mode() const { return retry_mode_; }
-  /// By class, from 0 to 1. The class with the least priority for its work is shed first.
+  /// Returns the admitted fraction of each class, from 0 to 1.
+  /// The class with the lowest priority per unit of work is shed first.
   Values admitted_fractions(const RequestClasses& classes, Nanos evidence_time) const;
 
  private:
   const bool may_shed_;
-  // No other mode allows more for classes of every idempotency.
+  // This is the most permissive mode that is safe for every class, also for classes that are not idempotent.
   RetryMode retry_mode_ = RetryMode::after_rejection_proof;
-  double admitted_work_ = 1;  // as a fraction of the work that is asked for
+  double admitted_work_ = 1;  // admitted fraction of the work demanded
 };
 
 }  // namespace ospreypost::policy
--- a/src/policy/circuit_breaker.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -5,10 +5,10 @@
 namespace ospreypost::policy {
 
 Nanos CircuitBreaker::trip(Nanos now) {
-  const bool repeated = is_half_open() || now < proven_until_;
+  const bool repeated = is_half_open() || now < repeat_window_ends_at_;
   cooldown_ = repeated ? std::min(2 * cooldown_, kMaxCooldown) : kCooldown;
   state_ = State::open;
-  reopens_at_ = now + cooldown_;
+  cooldown_ends_at_ = now + cooldown_;
   return cooldown_;
 }
 
@@ -25,7 +25,7 @@
   window_ends_at_ = now + kConfirmWindow;
   if (!sound) return false;
   state_ = State::closed;
-  proven_until_ = now + kClimbDuration + kConfirmWindow;
+  repeat_window_ends_at_ = now + kClimbDuration + kConfirmWindow;
   return true;
 }
 
--- a/src/policy/circuit_breaker.h
+++ b/src/policy/circuit_breaker.h
@@ -1,4 +1,6 @@
-/// The circuit breaker of one replica: closed, open for a doubling cooldown, half-open until proven.
+/// The circuit breaker of one replica. A breaker is closed in normal operation. A trip opens the breaker for
+/// a cooldown, which doubles with each repeated trip. The breaker is then half-open until the replica has
+/// proven itself by enough successes.
 #pragma once
 
 #include <optional>
@@ -7,19 +9,20 @@
 
 namespace ospreypost::policy {
 
-// The source's constants; docs/design.md says why each differs from its default.
+// docs/design.md explains why each of these constants differs from its usual default.
 
-/// First ejection; each repeat doubles it.
+/// Cooldown after a first trip; each repeated trip doubles it.
 inline constexpr Nanos kCooldown = std::chrono::seconds(2);
 inline constexpr Nanos kMaxCooldown = std::chrono::seconds(20);
-/// A half-open breaker closes after so long, if the evidence is sound.
+/// A half-open breaker closes at the end of a window of this length if the evidence is sound by then.
 inline constexpr Nanos kConfirmWindow = std::chrono::seconds(4);
-/// The linear climb from the anchor to the full weight.
+/// Duration of the linear climb from the anchor to the full weight.
 inline constexpr Nanos kClimbDuration = 2 * kConfirmWindow;
-/// Successes since the return that make the evidence sound.
+/// Minimum number of successes since a replica's return for its evidence to be sound.
 inline constexpr double kMinSoundSuccesses = 4;
 
-/// Moved by `OutlierDetector`, which judges the evidence; holds the state machine and its times.
+/// The state machine of the breaker, with its times.
+/// `OutlierDetector` judges the evidence and triggers the state changes.
 class CircuitBreaker {
  public:
   enum class State { closed, open, half_open };
@@ -28,26 +31,29 @@
   bool is_half_open() const { return state_ == State::half_open; }
   bool is_closed() const { return state_ == State::closed; }
 
-  /// Opens for the cooldown, which it returns. It doubles if the replica fails half-open or soon after it
-  /// closed: then it has not recovered.
+  /// Opens the breaker and returns the cooldown.
+  /// A trip of a half-open or recently closed breaker doubles the cooldown: the replica has not recovered.
   Nanos trip(Nanos now);
   void half_open(Nanos now);
-  /// For a half-open breaker: starts the climb with the first sound evidence, and closes at the end of a
-  /// confirm window if the evidence is sound. True if it closed.
+  /// Checks the evidence of a half-open breaker. The first sound evidence starts the climb. At the end of a
+  /// confirm window the breaker closes if the evidence is sound; else another window begins.
+  /// `successes` counts the successful attempts since the breaker became half-open.
+  /// Returns true if the breaker closed.
   bool confirm(Nanos now, double successes);
 
-  bool cooldown_is_over(Nanos now) const { return now >= reopens_at_; }
-  /// The end of the cooldown of an open breaker.
-  Nanos reopens_at() const { return reopens_at_; }
-  /// When the climb from the anchor began; absent while there was no sound evidence.
+  bool cooldown_is_over(Nanos now) const { return now >= cooldown_ends_at_; }
+  /// Returns when the cooldown of the last trip ends.
+  Nanos cooldown_ends_at() const { return cooldown_ends_at_; }
+  /// Returns when the climb from the anchor began.
+  /// Empty if there has been no sound evidence since the breaker last became half-open.
   std::optional<Nanos> anchored_at() const { return anchored_at_; }
 
  private:
   State state_ = State::closed;
-  Nanos cooldown_ = kCooldown;  // of the last trip
-  Nanos reopens_at_{};
+  Nanos cooldown_ = kCooldown;  // cooldown of the last trip
+  Nanos cooldown_ends_at_{};
   Nanos window_ends_at_{};
-  Nanos proven_until_{};  // a trip before then is a repeat, whatever the state
+  Nanos repeat_window_ends_at_{};  // a trip before this time is a repeat, even if the breaker has closed
   std::optional<Nanos> anchored_at_;
 };
 
--- a/src/policy/control_channel.h
+++ b/src/policy/control_channel.h
@@ -1,4 +1,5 @@
-/// The channel from the controller to its proxies: what waits in it, as far as acknowledgements tell.
+/// The channel from the controller to its proxies.
+/// The number of entries queued in the channel is estimated from the acknowledgements of proxies.
 #pragma once
 
 #include <cstdint>
@@ -9,59 +10,63 @@
 
 namespace ospreypost::policy {
 
-// Fractions of the stated limit of entries that may wait in the channel.
-
-/// For what can wait.
-inline constexpr double kPlainQueueFraction = 0.5;
-/// For what must not wait.
+/// Table changes that could also be sent later may fill the queue up to this fraction of its maximum.
+inline constexpr double kNonUrgentQueueFraction = 0.5;
+/// Ejections, returns of ejected replicas, admitted fractions, and entries of tables without endpoints may
+/// fill the queue up to this fraction of its maximum.
 inline constexpr double kUrgentQueueFraction = 0.9;
-/// For the first tables of proxies that join.
+/// The first tables of joining proxies may fill the queue up to this fraction of its maximum.
 inline constexpr double kJoiningQueueFraction = 0.8;
 
 class ControlChannel {
  public:
   explicit ControlChannel(const Settings& settings);
 
-  /// The stated limit of entries that may wait.
+  /// Returns the configured maximum number of queued entries.
   double max_queued_entries() const { return max_queued_entries_; }
-  /// The pace that is counted on.
+  /// Returns the rate that the controller relies on, which is below the configured rate.
   double entries_per_second() const { return entries_per_second_; }
 
-  /// Entries that may wait now. A channel may run at a fraction of its pace for a while, so what was sent
-  /// waits until an acknowledgement shows that it left. Against acknowledgements that never come it leaves
-  /// all the same, but slowly; where no proxy acknowledges anything, at the pace that is counted on.
+  /// Returns a cautious estimate of the number of entries queued in the channel.
+  /// The channel may run at a fraction of its rate for a while, so entries count as queued until an
+  /// acknowledgement confirms their transmission. Acknowledgements may also be lost, so the estimate falls
+  /// slowly without them. Before the first acknowledgement, the estimate falls at entries_per_second().
   double queued_entries(Nanos now);
-  /// Notes entries that are sent, in so many messages.
+  /// Counts entries that are sent now, in the given number of messages.
   void add(double entries, double messages);
 
-  /// Requests an acknowledgement of what was sent in this call on the controller, if so much may wait that it
-  /// matters, or none ever came: requests in all messages cost more than they tell. All calls of one moment
-  /// leave as one message for each proxy, which needs one request.
+  /// Requests an acknowledgement of the entries sent in the current call on the controller.
+  /// Does so only if many entries may be queued or no acknowledgement has ever arrived: a request in every
+  /// message would cost more capacity than the acknowledgements are worth.
+  /// Calls at the same time share one request, since their messages to a proxy are merged into one.
   void request_acknowledgement(Nanos now, ActionSink& actions);
-  /// Messages leave in order: an acknowledgement shows that all earlier ones left, and its part of its own.
+  /// Processes the acknowledgement of one proxy. The channel transmits messages in order, so the
+  /// acknowledgement confirms all entries sent before the request. If n messages carried the request, the
+  /// acknowledgement also confirms 1/n of the entries sent together with the request.
   void on_acknowledged(Nanos now, AckRequestId id);
-  /// What waits for a proxy is lost with its connection.
-  void on_all_proxies_left() { left_ = sent_; }
+  /// Reports that the last proxy has left. Entries queued for a proxy are lost with the proxy's connection,
+  /// so no entries are queued any more.
+  void on_all_proxies_left() { transmitted_ = enqueued_; }
 
  private:
   struct AckRequest {
-    double sent_before = 0;  // entries, ever
-    double entries = 0;      // with it
-    double messages = 0;     // that carry it
-    double answers = 0;
+    double enqueued_before = 0;   // all entries ever sent before the request
+    double entries = 0;           // entries sent together with the request
+    double messages = 0;          // messages that carry the request
+    double acknowledgements = 0;  // acknowledgements received, one for each message
   };
 
   const double entries_per_second_;
   const double max_queued_entries_;
-  double sent_ = 0;       // entries, ever
-  double requested_ = 0;  // of those, up to the end of the last call
-  double left_ = 0;       // of those, out of the channel
-  double messages_ = 0;   // that the next request goes with
-  Nanos left_updated_{};
+  double enqueued_ = 0;              // all entries ever sent
+  double enqueued_before_call_ = 0;  // value of enqueued_ before the current call on the controller
+  double transmitted_ = 0;           // entries ever sent that are taken to have left the channel
+  double messages_in_call_ = 0;      // messages sent in the current call on the controller
+  Nanos transmitted_updated_at_{};
   std::map<AckRequestId, AckRequest> requests_;
   std::uint64_t last_request_ = 0;
-  Nanos last_requested_{};
-  bool acknowledged_ = false;  // ever, by any proxy
+  Nanos last_requested_at_{};
+  bool acknowledged_ = false;  // whether any proxy has ever acknowledged a request
 };
 
 }  // namespace ospreypost::policy
--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -11,17 +11,19 @@
 constexpr TimerId kWatchTimer{2};
 
 constexpr Nanos kMinInterval = 100ms;
-/// Each replica is checked once in so many iterations, where load comes no other way.
+/// Number of iterations between two health checks of a replica, where load is reported by health checks.
 constexpr unsigned kIterationsBetweenHealthChecks = 4;
-/// Admission is updated once in so many iterations: with each report.
+/// Number of iterations between two updates of admission. Two iterations last one report interval.
 constexpr unsigned kIterationsBetweenAdmissions = 2;
-/// Proxies that migrate, in one iteration and zone.
+/// Maximum number of proxies of a zone that migrate in one iteration.
 constexpr std::size_t kMaxMigrations = 8;
 
-// The pause before a list that failed is watched for again doubles so often, from the first.
+/// Base of the backoff before a failed endpoint list is watched again. Each consecutive failure doubles the
+/// backoff, starting with the first.
 constexpr double kWatchBackoffSeconds = 0.5;
+/// Number of consecutive failures after which the backoff doubles no further.
 constexpr int kMaxListFailures = 3;
-// Of the pause, by chance.
+// Range of the random factor of the backoff.
 constexpr double kMinBackoffJitter = 0.3;
 constexpr double kMaxBackoffJitter = 1.0;
 
@@ -50,7 +52,7 @@
   actions_.start_timer(interval_, kIterationTimer);
 }
 
-// --- The control loop
+// --- The iteration of the control loop
 
 void Controller::ControlLoop::run_iteration() {
   actions_.start_timer(interval_, kIterationTimer);
@@ -58,7 +60,7 @@
   ++iteration_;
   request_health_checks();
   collect_statistics();
-  if (outlier_detector_.evaluate(replicas(), fleet_)) publisher_.hurry();
+  if (outlier_detector_.evaluate(replicas(), fleet_)) publisher_.request_urgent_publication();
   restore_endpoints();
   load_feedback_.adjust(replicas(), clock_.evidence_time(), iteration_);
   if (iteration_ % kIterationsBetweenAdmissions == 0) admission_.update(fleet_);
@@ -68,11 +70,12 @@
   channel_.request_acknowledgement(clock_.now(), actions_);
 }
 
-/// Guards against state that grows with all replicas that ever were. A proxy that is bound to no subset may
-/// still hold an entry of any.
+/// Forgets replicas that have been gone for long, so that memory does not grow with every replica that ever
+/// existed. A replica is kept while any subset's table has an entry of it, and while any proxy is bound to no
+/// subset, since such a proxy may still hold an entry of any replica.
 void Controller::ControlLoop::forget_expired_replicas() {
-  for (const auto id : membership_.take_stock(clock_.now())) {
-    if (assignment_.unassigned_proxies() > 0 || !publisher_.holders_of(id).empty()) continue;
+  for (const auto id : membership_.collect_expired(clock_.now())) {
+    if (assignment_.unassigned_proxies() > 0 || !publisher_.subsets_holding(id).empty()) continue;
     actions_.set_ejected(id, false);
     membership_.forget(id);
   }
@@ -88,7 +91,7 @@
 }
 
 void Controller::ControlLoop::collect_statistics() {
-  // By the pressure and the holds of the iteration before.
+  // The capacities depend on the pressure and the warm-up holds from the previous collection.
   assignment_.update_capacities(replicas(), slow_start_, clock_.now(), fleet_.pressure);
   const policy::FleetView view{replicas(), slow_start_, load_signal_, classes_, clock_};
   fleet_ = collect_fleet_statistics(view, fleet_);
@@ -112,7 +115,7 @@
   for (std::size_t turn = 0; turn < kMaxMigrations; ++turn) {
     for (std::size_t zone = 0; zone < zones(); ++zone) {
       const auto migration = assignment_.find_migration(zone);
-      if (migration) bind(migration->proxy, migration->subset, policy::kPlainQueueFraction);
+      if (migration) bind(migration->proxy, migration->subset, policy::kNonUrgentQueueFraction);
     }
   }
 }
@@ -133,7 +136,7 @@
   publisher_.publish(wanted, replicas(), slow_start_, assignment_, clock_.now());
 }
 
-// --- Events
+// --- The events of the fleet
 
 void Controller::ControlLoop::on_endpoint_list(Nanos now, EndpointListKind kind,
                                                const std::vector<EndpointUpdate>& entries) {
@@ -143,7 +146,8 @@
   for (const auto& entry : entries) {
     if (entry.phase != EndpointPhase::gone) apply(entry, known_before_start);
   }
-  if (membership_.remove(membership_.removed_by(kind, entries), actions_)) publisher_.hurry();
+  if (membership_.remove(membership_.removed_by(kind, entries), actions_))
+    publisher_.request_urgent_publication();
   assignment_.lay_out(replicas(), {channel_.entries_per_second(), publisher_.message_overhead()});
   publisher_.set_table_count(assignment_.subsets().size(), classes_.groups().size());
   collect_statistics();
@@ -154,13 +158,13 @@
 
 void Controller::ControlLoop::apply(const EndpointUpdate& update, bool known_before_start) {
   const auto applied = membership_.apply(update, known_before_start, slow_start_, clock_.now());
-  if (applied.is_placed_anew) assignment_.assign_block(applied.replica, replicas());
-  if (applied.stopped_serving) publisher_.hurry();
+  if (applied.needs_block) assignment_.assign_block(applied.replica, replicas());
+  if (applied.stopped_serving) publisher_.request_urgent_publication();
   if (applied.must_recover) outlier_detector_.half_open(update.replica, applied.replica);
 }
 
 void Controller::ControlLoop::on_endpoint_list_failed() {
-  // Against every instance coming back at the same moment to a list that is overloaded already.
+  // A backoff with jitter keeps all instances from returning at once to an overloaded source of the list.
   list_failures_ = std::min(list_failures_ + 1, kMaxListFailures);
   std::uniform_real_distribution<double> jitter(kMinBackoffJitter, kMaxBackoffJitter);
   const double backoff = kWatchBackoffSeconds * (1 << list_failures_);
@@ -186,7 +190,7 @@
   clock_.advance(now);
   clock_.add_report(report.attempts, report.span);
   const auto known = replicas().find(report.replica);
-  if (known == replicas().end() || now < known->second.outcomes_count_from) return;
+  if (known == replicas().end() || now < known->second.reports_accepted_from) return;
   auto& replica = known->second;
   auto& outcomes = replica.outcomes;
   const Nanos evidence_time = clock_.evidence_time();
@@ -215,8 +219,8 @@
   channel_.on_acknowledged(now, request);
 }
 
-/// Health checks are for the load report only: a missing answer may be the fault of our own way to the
-/// replica.
+/// Records the load that a health check reports. A missing answer is not evidence against the replica,
+/// because the network path from this instance to the replica may be at fault.
 void Controller::ControlLoop::on_health_check_result(Nanos now, const HealthCheckResult& result) {
   clock_.advance(now);
   const auto known = replicas().find(result.replica);
--- a/src/policy/control_loop.h
+++ b/src/policy/control_loop.h
@@ -1,4 +1,4 @@
-/// The parts of the decision module, and the order in which they work on each event and in each iteration.
+/// Owns the parts of the decision module and calls them in order, on each event and in each iteration.
 #pragma once
 
 #include <random>
@@ -19,8 +19,9 @@
 
 namespace ospreypost {
 
-/// What a controller is made of. What must not wait (draining, ejections, a proxy without a table) is done
-/// with the event; all else in the next iteration.
+/// The implementation of `Controller`. Urgent work is done in the call that reports the event: ejecting
+/// draining and removed replicas, and sending tables to a joining proxy. All other work is done in the next
+/// iteration of the control loop.
 class Controller::ControlLoop {
  public:
   ControlLoop(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& actions);
@@ -67,10 +68,10 @@
   policy::ControlChannel channel_;
   policy::TablePublisher publisher_;
 
-  policy::FleetStatistics fleet_;  // of the last iteration or list
-  policy::ProxyDemand demand_;     // as of then
+  policy::FleetStatistics fleet_;  // collected at the last iteration or the last endpoint list
+  policy::ProxyDemand demand_;     // collected together with fleet_
   unsigned iteration_ = 0;
-  int list_failures_ = 0;  // in a row
+  int list_failures_ = 0;  // consecutive failures to get the endpoint list
 };
 
 }  // namespace ospreypost
--- a/src/policy/endpoint_membership.cpp
+++ b/src/policy/endpoint_membership.cpp
@@ -9,10 +9,10 @@
 namespace ospreypost::policy {
 namespace {
 
-/// Of what is gone, as it may come back.
+/// How long the state of a replica that is gone is kept, since the replica may return.
 constexpr Nanos kRetention = 3 * kMaxCooldown;
 constexpr double kMinWeight = 1e-3;
-/// Of the ready replicas that a list may remove at once before it is doubted.
+/// Maximum fraction of the ready replicas that a list may remove at once without being doubted.
 constexpr double kMaxRemovedFraction = kMaxEjectedWeightFraction;
 
 }  // namespace
@@ -43,27 +43,27 @@
   endpoint.started = update.started;
   applied.stopped_serving = was_ready && !replica.is_ready();
   if (!replica.is_ready()) return applied;
-  // Listed before the start means closed, but what started a moment ago warms up whatever the breaker says.
+  // A replica that was listed before this instance started is trusted unless it is still warming up.
   applied.must_recover =
       known_before_start ? slow_start.is_warming_up(replica, now) : !was_ready || restarted;
   if (!applied.must_recover) return applied;
-  replica.load_step = 1;
+  replica.load_correction = 1;
   replica.added = known_before_start ? endpoint.started : now;
   return applied;
 }
 
 std::vector<ReplicaId> EndpointMembership::removed_by(EndpointListKind kind,
                                                       const std::vector<EndpointUpdate>& entries) const {
-  const bool is_changes = kind == EndpointListKind::changes;
-  // In a list of changes those that are gone, else those that are not.
+  const bool lists_changes = kind == EndpointListKind::changes;
+  // In a list of changes, collects the replicas that are gone; in any other list, those that are not gone.
   std::set<ReplicaId> named;
   for (const auto& entry : entries) {
     const bool is_gone = entry.phase == EndpointPhase::gone;
-    if (is_gone == is_changes) named.insert(entry.replica);
+    if (is_gone == lists_changes) named.insert(entry.replica);
   }
   std::vector<ReplicaId> removed;
   for (const auto& [id, replica] : replicas_) {
-    if (!replica.is_gone() && named.contains(id) == is_changes) removed.push_back(id);
+    if (!replica.is_gone() && named.contains(id) == lists_changes) removed.push_back(id);
   }
   return removed;
 }
@@ -71,14 +71,14 @@
 bool EndpointMembership::remove(const std::vector<ReplicaId>& removed, ActionSink& actions) {
   std::size_t ready = 0;
   for (const auto& [id, replica] : replicas_) ready += replica.is_ready() ? 1 : 0;
-  std::size_t lost = 0;
+  std::size_t removed_ready = 0;
   for (const auto id : removed) {
     const auto& replica = replicas_.at(id);
-    if (replica.is_ready() && !replica.endpoint.removal_doubted) ++lost;
+    if (replica.is_ready() && !replica.endpoint.removal_doubted) ++removed_ready;
   }
-  const bool is_doubtful =
-      !removal_is_binding_ && static_cast<double>(lost) > kMaxRemovedFraction * static_cast<double>(ready);
-  if (is_doubtful) actions.log(log_events::endpoint_list_doubted(lost));
+  const bool is_doubtful = !removal_is_binding_ && static_cast<double>(removed_ready) >
+                                                       kMaxRemovedFraction * static_cast<double>(ready);
+  if (is_doubtful) actions.log(log_events::endpoint_list_doubted(removed_ready));
   bool any_gone = false;
   for (const auto id : removed) {
     auto& replica = replicas_.at(id);
@@ -91,7 +91,7 @@
   return any_gone;
 }
 
-std::vector<ReplicaId> EndpointMembership::take_stock(Nanos now) {
+std::vector<ReplicaId> EndpointMembership::collect_expired(Nanos now) {
   std::vector<ReplicaId> expired;
   for (auto& [id, replica] : replicas_) {
     auto& last_listed = replica.endpoint.last_listed;
--- a/src/policy/endpoint_membership.h
+++ b/src/policy/endpoint_membership.h
@@ -1,4 +1,4 @@
-/// Which replicas are listed, which of them are doubted, and which are forgotten.
+/// Tracks which replicas are listed, which removals are doubted, and when removed replicas are forgotten.
 #pragma once
 
 #include <optional>
@@ -19,26 +19,29 @@
   ReplicaMap& replicas() { return replicas_; }
   const ReplicaMap& replicas() const { return replicas_; }
 
-  /// What an entry of the list changed.
+  /// The changes that one entry of an endpoint list made.
   struct Applied {
     Replica& replica;
-    bool is_placed_anew = false;  ///< new, or in another zone: it needs a block
+    bool needs_block = false;  ///< the replica is new or moved to another zone and needs a block
     bool stopped_serving = false;
-    bool must_recover = false;  ///< it starts or returns, and has to prove itself
+    bool must_recover = false;  ///< the replica started or returned, and has to prove itself
   };
-  /// Takes an entry that is not gone. `known_before_start`: what is listed then is trusted, unless it started
-  /// a moment ago.
+  /// Applies an entry whose phase is not `gone`.
+  /// `known_before_start` is true for entries of the list that was cached before this instance started: their
+  /// replicas are trusted at once unless they are still warming up.
   Applied apply(const EndpointUpdate& update, bool known_before_start, const SlowStart& slow_start,
                 Nanos now);
 
-  /// The replicas that a list removes; an entry that is not gone has been applied before.
+  /// Returns the replicas that a list removes. Entries of the list that are not gone must be applied before.
   std::vector<ReplicaId> removed_by(EndpointListKind kind, const std::vector<EndpointUpdate>& entries) const;
-  /// Guards against a wrong list: where a removal is not binding, one that removes too many at once is
-  /// doubted, and what it removed serves on until its own attempts fail. True if any is gone.
+  /// Removes replicas and returns true if any of them is gone now.
+  /// Guards against a wrong endpoint list: where a removal is not binding, a list that removes too many
+  /// replicas at once is doubted, and each of the removed replicas keeps serving until attempts at it fail.
   bool remove(const std::vector<ReplicaId>& removed, ActionSink& actions);
 
-  /// Replicas that have been gone for so long that they count as new if they come back.
-  std::vector<ReplicaId> take_stock(Nanos now);
+  /// Records which replicas are listed now. Returns the ejected replicas that have been gone for longer than
+  /// the retention time and can be forgotten. A forgotten replica counts as new if it returns.
+  std::vector<ReplicaId> collect_expired(Nanos now);
   void forget(ReplicaId id) { replicas_.erase(id); }
 
   std::size_t zone_of(ZoneId zone) const;
--- a/src/policy/evidence.h
+++ b/src/policy/evidence.h
@@ -1,4 +1,4 @@
-/// What was observed lately: sums that decay, the clock by which they do, and a replica's outcomes.
+/// Recent observations: decaying sums, the clock by which they decay, and the outcomes of one replica.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace ospreypost::policy {
 
-/// Half-life of what is known of replicas.
+/// Half-life of observations of replicas.
 inline constexpr Nanos kEvidenceHalfLife = std::chrono::seconds(2);
-/// Half-life of what is known of demand.
+/// Half-life of observations of demand.
 inline constexpr Nanos kDemandHalfLife = std::chrono::seconds(4);
 
-/// A sum whose past additions halve with each half-life.
+/// A sum in which each addition decays exponentially with the given half-life.
 class DecayingSum {
  public:
   explicit DecayingSum(Nanos half_life) : half_life_(half_life) {}
@@ -26,19 +26,21 @@
   double value_ = 0;
 };
 
-/// The time and the evidence time. The more replicas and proxies there are, the more rarely each report
-/// comes; evidence time then runs slower, so that no half-life is shorter than the span of a report.
+/// Keeps the current time and the evidence time, which is the time by which observations decay.
+/// The larger the fleet, the rarer are the load reports and the longer are the spans that they cover.
+/// Evidence time is dilated (it runs slower than real time) so that no half-life is shorter than such a span.
 class EvidenceClock {
  public:
   EvidenceClock(Nanos now, Nanos control_interval) : control_interval_(control_interval), now_(now) {}
   void advance(Nanos now);
-  /// Counts the span of a report for the dilation of evidence time.
+  /// Adjusts the dilation of evidence time to the span of a load report.
   void add_report(std::uint32_t attempts, Nanos span);
 
   Nanos now() const { return now_; }
-  /// The time by which decaying sums are read and added to.
+  /// Returns the time to pass to decaying sums when reading them or adding to them.
   Nanos evidence_time() const { return evidence_time_; }
-  /// Seconds that a report covers now, weighted by attempts, as a thin report waits longer for them.
+  /// Returns the mean span of recent load reports in seconds. Reports are weighted by their attempts, because
+  /// a report with few attempts covers a long span only while its attempts are collected.
   double report_span_seconds() const;
 
  private:
@@ -50,17 +52,18 @@
   DecayingSum attempts_{kDemandHalfLife};
 };
 
-/// What proxies saw of one replica lately.
+/// Recent outcomes of the proxies' attempts at one replica.
 struct OutcomeStatistics {
   DecayingSum attempts{kEvidenceHalfLife};
   DecayingSum failed{kEvidenceHalfLife};
-  DecayingSum latency_seconds{kEvidenceHalfLife};  ///< weighted by successes
-  DecayingSum latency_weight{kEvidenceHalfLife};
+  DecayingSum latency_seconds{kEvidenceHalfLife};  ///< sum of the latencies of successes
+  DecayingSum latency_weight{kEvidenceHalfLife};   ///< number of successes in latency_seconds
   DecayingSum load{kEvidenceHalfLife};
   DecayingSum load_samples{kEvidenceHalfLife};
-  double successes = 0;  ///< all of them, without decay
+  double successes = 0;  ///< number of all successes, without decay
 
-  /// Mean latency in seconds; empty if fewer successes than `min_weight` tell of it.
+  /// Returns the mean latency in seconds.
+  /// Empty if the number of successes, after their decay, is below `min_weight`.
   std::optional<double> mean_latency(Nanos evidence_time, double min_weight) const;
 };
 
--- a/src/policy/fleet_statistics.h
+++ b/src/policy/fleet_statistics.h
@@ -1,4 +1,4 @@
-/// All that is counted over replicas, made once in each iteration of the control loop.
+/// Statistics over all replicas, collected in each iteration of the control loop and with each endpoint list.
 #pragma once
 
 #include "policy/load_signal.h"
@@ -9,28 +9,28 @@
 
 namespace ospreypost::policy {
 
-/// Mean utilization of the replicas that unforeseen demand must not pass.
+/// Mean utilization of the replicas that is not to be exceeded. The rest is headroom for unexpected demand.
 inline constexpr double kTargetUtilization = 0.85;
-/// The median replica is overloaded when so many of its attempts fail.
+/// Fraction of failed attempts from which the median replica counts as overloaded.
 inline constexpr double kOverloadFailureRatio = 0.12;
 
 struct FleetStatistics {
   explicit FleetStatistics(std::size_t zones) : attempts_per_success(zones, 1.0) {}
 
-  Values attempts_per_success;     ///< by zone of the replicas
-  double attempts = 0;             ///< at all that serve
-  double failed = 0;               ///< of those
-  double serving_replicas = 1;     ///< a divisor, so never 0
-  double ready_weight = 0;         ///< listed, of all that are ready
-  double ejected_weight = 0;       ///< listed, of those of them that breakers hold out
-  double mean_reported_load = -1;  ///< negative before the first iteration
-  double utilization = 0;          ///< mean, by weight; 0 where replicas report none
-  /// Load of the median replica against what it can take: above 1 is overload. The median, as a fault of a
-  /// few replicas is not too much work.
+  Values attempts_per_success;     ///< attempts needed for one success, by zone of the replicas
+  double attempts = 0;             ///< recent attempts at all serving replicas
+  double failed = 0;               ///< the failed ones of `attempts`
+  double serving_replicas = 1;     ///< number of serving replicas; a divisor, so never 0
+  double ready_weight = 0;         ///< listed weight of all ready replicas
+  double ejected_weight = 0;       ///< listed weight of the ready replicas whose breaker is open
+  double mean_reported_load = -1;  ///< mean load of serving replicas; negative before the first collection
+  double utilization = 0;          ///< mean utilization by weight; 0 if replicas report none
+  /// Load of the median replica relative to its capacity; a value above 1 means overload.
+  /// The median is used because faults of a few replicas do not mean that the fleet has too much work.
   double pressure = 0;
 };
 
-/// What the statistics are made from.
+/// The inputs of collect_fleet_statistics().
 struct FleetView {
   const ReplicaMap& replicas;
   const SlowStart& slow_start;
@@ -39,7 +39,7 @@
   const EvidenceClock& clock;
 };
 
-/// `previous` are those of the iteration before.
+/// Collects the statistics of the fleet. `previous` is the result of the previous collection.
 FleetStatistics collect_fleet_statistics(const FleetView& fleet, const FleetStatistics& previous);
 
 }  // namespace ospreypost::policy
--- a/src/policy/load_feedback.cpp
+++ b/src/policy/load_feedback.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr unsigned kIterationsBetweenSteps = 6;
-/// Off the mean, as a fraction of it, from which a step is made.
+/// Relative deviation from the mean load up to which a replica's weight is not corrected.
 constexpr double kStepBand = 0.2;
-/// The largest factor of one step.
+/// Maximum factor by which one step raises or lowers a replica's load correction.
 constexpr double kMaxStepFactor = 1.25;
-// Of the listed weight.
-constexpr double kMinLoadStep = 0.5;
-constexpr double kMaxLoadStep = 1.25;
+// Range of the load correction, as a factor of the listed weight.
+constexpr double kMinLoadCorrection = 0.5;
+constexpr double kMaxLoadCorrection = 1.25;
 
-/// Successes, after their decay, that a mean latency needs.
+/// Minimum number of successes, after their decay, for a mean latency to count.
 constexpr double kMinLatencyWeight = 0.2;
 constexpr double kMinLoad = 1e-6;
 
@@ -31,8 +31,8 @@
   const auto latency = replica.outcomes.mean_latency(evidence_time, kMinLatencyWeight);
   if (!signal_.is_reported()) return latency;
   const auto load = signal_.reported_load(replica, evidence_time);
-  // Utilization stops at full while a queue goes on growing; only the latency tells then which has the longer
-  // one.
+  // Utilization cannot exceed 1 while a queue keeps growing. Among full replicas only the latency shows which
+  // replica has the longer queue.
   if (!load || signal_.is_count() || !latency || *latency <= 0) return load;
   return *load * std::sqrt(*latency);
 }
@@ -53,8 +53,8 @@
   for (const auto& [replica, load] : samples) {
     const double relative_load = std::max(load, kMinLoad) * count / std::max(total, kMinLoad);
     if (std::abs(relative_load - 1) <= kStepBand) continue;
-    replica->load_step *= std::clamp(std::sqrt(1 / relative_load), 1 / kMaxStepFactor, kMaxStepFactor);
-    replica->load_step = std::clamp(replica->load_step, kMinLoadStep, kMaxLoadStep);
+    replica->load_correction *= std::clamp(std::sqrt(1 / relative_load), 1 / kMaxStepFactor, kMaxStepFactor);
+    replica->load_correction = std::clamp(replica->load_correction, kMinLoadCorrection, kMaxLoadCorrection);
   }
 }
 
--- a/src/policy/load_feedback.h
+++ b/src/policy/load_feedback.h
@@ -1,4 +1,4 @@
-/// Steps replicas' weights toward equal load, as they report it.
+/// Corrects replicas' weights step by step so that their reported loads become equal.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 class LoadFeedback {
  public:
   explicit LoadFeedback(const LoadSignal& signal) : signal_(signal) {}
-  /// Moves the load step of each replica that is off the mean, once in several iterations of the control
-  /// loop.
+  /// Adjusts the load correction of each replica whose load is far from the mean.
+  /// Has an effect only once in several iterations of the control loop, judged by the number `iteration`.
   void adjust(ReplicaMap& replicas, Nanos evidence_time, unsigned iteration) const;
 
  private:
--- a/src/policy/load_signal.cpp
+++ b/src/policy/load_signal.cpp
@@ -5,7 +5,7 @@
 namespace ospreypost::policy {
 namespace {
 
-/// Samples, after their decay, below which nothing is known.
+/// Minimum number of samples, after their decay, for a reported load to count.
 constexpr double kMinLoadSamples = 0.2;
 
 }  // namespace
@@ -26,7 +26,7 @@
 }
 
 void LoadSignal::record(Replica& replica, const std::vector<float>& load, const EvidenceClock& clock) const {
-  if (!column_ || *column_ >= load.size() || clock.now() < replica.outcomes_count_from) return;
+  if (!column_ || *column_ >= load.size() || clock.now() < replica.reports_accepted_from) return;
   replica.outcomes.load.add(clock.evidence_time(), load[*column_]);
   replica.outcomes.load_samples.add(clock.evidence_time(), 1);
 }
@@ -36,7 +36,7 @@
   if (!column_ || samples < kMinLoadSamples) return std::nullopt;
   const double mean = replica.outcomes.load.read(evidence_time) / samples;
   const double load = mean / (is_count_ ? replica.endpoint.weight : 1);
-  // What is no load, such as a negative value, tells nothing.
+  // Invalid reports, such as negative values or NaN, are ignored.
   if (load >= 0) return load;
   return std::nullopt;
 }
--- a/src/policy/load_signal.h
+++ b/src/policy/load_signal.h
@@ -1,4 +1,4 @@
-/// Which reported value tells of a replica's load, and how it gets here.
+/// Selects which column of load reports measures a replica's load, and how these reports are obtained.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,17 @@
  public:
   explicit LoadSignal(const Settings& settings);
 
-  /// Whether any reported column tells of load.
+  /// Returns whether any reported column measures load.
   bool is_reported() const { return column_.has_value(); }
-  /// The column counts requests, so it means more on a small replica; else it is a utilization.
+  /// Returns true if the column is a number of requests, which has to be divided by the replica's weight.
+  /// Returns false if the column is a utilization.
   bool is_count() const { return is_count_; }
   bool needs_health_checks() const { return needs_health_checks_; }
 
-  /// Takes what came with a report or a health check.
+  /// Adds the load columns of a load report or a health check result to a replica's outcomes.
   void record(Replica& replica, const std::vector<float>& load, const EvidenceClock& clock) const;
-  /// Mean load as reported, by weight where it is a count. Empty where none came.
+  /// Returns the recent mean of a replica's reported load, divided by the replica's weight if the load is a
+  /// number of requests. Empty without recent reports.
   std::optional<double> reported_load(const Replica& replica, Nanos evidence_time) const;
 
  private:
--- a/src/policy/locality_planner.cpp
+++ b/src/policy/locality_planner.cpp
@@ -5,40 +5,44 @@
 namespace ospreypost::policy {
 namespace {
 
-// A zone may run so far above the mean load before demand spills into others.
+/// Fraction by which a zone's load may exceed the mean load before demand spills into other zones.
 constexpr double kLocalSlack = 0.15;
-/// Proxies that pick the less busy of two even out their own zone.
-constexpr double kLocalSlackOfPickers = 0.6;
-/// A zone's demand may be off by so much of its proxies' unevenness.
+/// Fraction by which a zone's load may exceed the mean load where proxies pick the less busy of two replicas.
+/// The value is larger than kLocalSlack because such proxies balance the load within their zone themselves.
+constexpr double kLocalSlackWithTwoChoices = 0.6;
+/// Expected relative error of a zone's measured demand, as a multiple of its proxies' unevenness.
 constexpr double kDemandErrorFactor = 1.6;
 constexpr double kMinDemandError = 0.01;
-/// A thinner flow into a zone costs connections for nothing; of the demand.
+/// Minimum fraction of a zone's demand that is routed to another zone.
+/// A smaller flow would cost connections without relieving the zone.
 constexpr double kMinSpill = 0.03;
-/// Of a zone's usable weight, that counts as spare when there is none.
+/// Minimum fraction of a zone's usable weight that counts as spare, even if the zone has no spare capacity.
 constexpr double kMinSpareFraction = 0.05;
-/// Below this share of all proxies, what the others bring is no longer extrapolated from.
+/// Minimum fraction of all proxies that is assumed to be joined to this instance when the demand of all
+/// proxies is extrapolated from the demand of its own.
 constexpr double kMinOwnShare = 0.1;
 constexpr double kMinFlow = 1e-12;
 
-/// The weights that a group may use, by zone and block.
+/// The total weight of the replicas that a routing group may use, by zone and block.
 using UsableWeights = std::vector<Values>;
 
 class Plan {
  public:
-  Plan(const PlanningView& view, bool by_zone, bool avoid_the_busy)
+  Plan(const PlanningView& view, bool proxies_join_by_zone, bool pick_less_busy)
       : view_(view),
-        avoid_the_busy_(avoid_the_busy),
+        pick_less_busy_(pick_less_busy),
         zones_(view.subsets.layout().zones()),
-        weight_(zones_),
-        used_(zones_),
+        serving_weight_(zones_),
+        used_capacity_(zones_),
         tables_(view.subsets.subsets().size(), view.groups.size()) {
     for (const auto& [id, replica] : view_.replicas) {
-      if (may_serve(replica)) weight_[replica.endpoint.zone] += weight_of(replica);
+      if (may_serve(replica)) serving_weight_[replica.endpoint.zone] += weight_of(replica);
     }
     const double own_demand = sum_of(view_.demand.by_zone);
-    demand_ = by_zone ? own_demand / std::max(kMinOwnShare, view_.subsets.own_share()) : own_demand;
-    mean_load_ = demand_ / std::max(kTiny, sum_of(weight_));
-    reserve_for_others(own_demand);
+    total_demand_ =
+        proxies_join_by_zone ? own_demand / std::max(kMinOwnShare, view_.subsets.own_share()) : own_demand;
+    mean_load_ = total_demand_ / std::max(kTiny, sum_of(serving_weight_));
+    reserve_for_other_instances(own_demand);
     home_fraction_ = home_fraction();
   }
 
@@ -60,17 +64,20 @@
     return view_.slow_start.weight_of(replica, view_.now, view_.fleet.pressure);
   }
 
-  /// Proxies dealt by chance bring each instance a like part; where they join by zone, those of the others
-  /// are taken to fill the zones evenly.
-  void reserve_for_others(double own_demand) {
+  /// Reserves capacity for the demand of other instances' proxies.
+  /// If proxies join an instance of their own zone, the demand of other instances is estimated and spread
+  /// over the zones so that all zones reach the same load. If proxies join instances at random, every
+  /// instance sees a similar part of the demand of each zone, and nothing is reserved.
+  void reserve_for_other_instances(double own_demand) {
     for (std::size_t zone = 0; zone < zones_; ++zone) {
-      used_[zone] = std::max(kTiny, weight_[zone] * mean_load_ - view_.demand.by_zone[zone]);
+      used_capacity_[zone] = std::max(kTiny, serving_weight_[zone] * mean_load_ - view_.demand.by_zone[zone]);
     }
-    const double unseen = (demand_ - own_demand) / sum_of(used_);
-    for (auto& used : used_) used *= unseen;
+    const double unseen_demand_ratio = (total_demand_ - own_demand) / sum_of(used_capacity_);
+    for (auto& used : used_capacity_) used *= unseen_demand_ratio;
   }
 
-  /// The part of its demand that a zone keeps if it has the capacity.
+  /// Returns the fraction of its demand that a zone keeps if it has the capacity.
+  /// The fraction is smaller the nearer the utilization is to its target and the larger the demand error is.
   double home_fraction() const {
     const double error = std::clamp(kDemandErrorFactor * view_.demand.unevenness, kMinDemandError, 1.0);
     if (view_.fleet.utilization <= 0) return 1;
@@ -89,16 +96,16 @@
   }
 
   Values keep_in_zone(std::size_t group, const UsableWeights& usable) {
-    const double local_slack = avoid_the_busy_ ? kLocalSlackOfPickers : kLocalSlack;
+    const double local_slack = pick_less_busy_ ? kLocalSlackWithTwoChoices : kLocalSlack;
     Values kept(zones_);
     for (std::size_t zone = 0; zone < zones_; ++zone) {
-      const double capacity = weight_[zone] * (1 + local_slack) * mean_load_ - used_[zone];
+      const double capacity = serving_weight_[zone] * (1 + local_slack) * mean_load_ - used_capacity_[zone];
       if (sum_of(usable[zone]) > 0) {
         const double home_demand = home_fraction_ * view_.demand.by_group[group][zone];
-        // Before anything is known of the demand, all keep to their own zone.
-        kept[zone] = demand_ > 0 ? std::min(home_demand, std::max(0.0, capacity)) : kTiny;
+        // Before the first demand is known, all proxies use their own zone.
+        kept[zone] = total_demand_ > 0 ? std::min(home_demand, std::max(0.0, capacity)) : kTiny;
       }
-      used_[zone] += kept[zone];
+      used_capacity_[zone] += kept[zone];
     }
     return kept;
   }
@@ -106,18 +113,18 @@
   Values spare_weights(const UsableWeights& usable) const {
     Values spare(zones_);
     for (std::size_t zone = 0; zone < zones_; ++zone) {
-      // Proxies that avoid the busy even out their own zone; spilling only carries their congestion into
-      // another's.
+      // Where proxies pick the less busy of two replicas, each zone balances its load itself. Spilling into a
+      // congested zone would then only add to its congestion.
       const double failure_ratio = 1 - 1 / view_.fleet.attempts_per_success[zone];
-      const bool is_closed = avoid_the_busy_ && failure_ratio > kOverloadFailureRatio;
+      const bool is_congested = pick_less_busy_ && failure_ratio > kOverloadFailureRatio;
       const double usable_weight = sum_of(usable[zone]);
-      const double free = is_closed ? 0 : usable_weight * mean_load_ - used_[zone];
-      spare[zone] = std::max(kMinSpareFraction * usable_weight, free);
+      const double free_capacity = is_congested ? 0 : usable_weight * mean_load_ - used_capacity_[zone];
+      spare[zone] = std::max(kMinSpareFraction * usable_weight, free_capacity);
     }
     return spare;
   }
 
-  /// How much of a zone's demand goes to each zone.
+  /// Returns how much of the source zone's demand is routed to each zone.
   Values flows_from(std::size_t source, std::size_t group, const UsableWeights& usable, double kept,
                     const Values& spare) {
     Values flows = spare;
@@ -127,12 +134,12 @@
     const double demand = std::max(kTiny, view_.demand.by_group[group][source]);
     const double surplus = demand - kept;
     const double total_spare = sum_of(flows);
-    const bool keeps_to_spare = avoid_the_busy_ && sum_of(usable[source]) > 0;
-    const double moved = keeps_to_spare ? std::min(surplus, total_spare) : surplus;
+    const bool spills_only_to_spare = pick_less_busy_ && sum_of(usable[source]) > 0;
+    const double spilled = spills_only_to_spare ? std::min(surplus, total_spare) : surplus;
     for (std::size_t zone = 0; zone < zones_; ++zone) {
-      flows[zone] *= moved / std::max(kMinFlow, total_spare);
-      used_[zone] += flows[zone];
-      if (zone == source) flows[zone] += demand - moved;
+      flows[zone] *= spilled / std::max(kMinFlow, total_spare);
+      used_capacity_[zone] += flows[zone];
+      if (zone == source) flows[zone] += demand - spilled;
       if (flows[zone] < kMinSpill * demand) flows[zone] = 0;
     }
     return flows;
@@ -140,28 +147,29 @@
 
   void fill_tables(std::size_t source, std::size_t group, const UsableWeights& usable, const Values& flows) {
     const auto& layout = view_.subsets.layout();
-    const double all_flows = sum_of(flows);
-    const double all_weight = sum_of(weight_);
+    const double total_flow = sum_of(flows);
+    const double total_weight = sum_of(serving_weight_);
     for (std::size_t block = 0; block < layout.blocks[source]; ++block) {
       auto& table = tables_.at(layout.first_subset[source] + block, group);
       for (std::size_t zone = 0; zone < zones_; ++zone) {
         if (flows[zone] > 0) {
-          const double table_weight = flows[zone] / all_flows * all_weight;
+          const double table_weight = flows[zone] / total_flow * total_weight;
           fill(view_.groups[group], zone, block, table_weight, usable[zone], table);
         }
       }
     }
   }
 
-  /// A subset's entries in one zone: its block there. When most of a block is ejected or draining, the next
-  /// ones join it until half of a usual one can serve.
+  /// Adds the entries of a subset in one zone: the replicas of the zone's block `first_block`.
+  /// If most of that block is ejected or draining, the zone's following blocks are added until replicas with
+  /// half the weight of an average block can serve.
   void fill(const RoutingGroup& group, std::size_t zone, std::size_t first_block, double table_weight,
             const Values& usable, TableEntries& table) const {
     const std::size_t blocks = usable.size();
-    const double enough = sum_of(usable) / static_cast<double>(blocks) / 2;
+    const double min_weight = sum_of(usable) / static_cast<double>(blocks) / 2;
     std::vector<bool> joined(blocks);
     double joined_weight = 0;
-    for (std::size_t block = first_block; joined_weight < enough; ++block) {
+    for (std::size_t block = first_block; joined_weight < min_weight; ++block) {
       joined[block % blocks] = true;
       joined_weight += usable[block % blocks];
     }
@@ -172,12 +180,12 @@
   }
 
   const PlanningView& view_;
-  const bool avoid_the_busy_;
+  const bool pick_less_busy_;
   const std::size_t zones_;
-  Values weight_;         // of the replicas that serve, by zone
-  Values used_;           // of that, in units of demand, by zone
-  double demand_ = 0;     // of all instances where proxies join by zone, else our own
-  double mean_load_ = 0;  // demand by weight
+  Values serving_weight_;    // weight of the serving replicas, by zone
+  Values used_capacity_;     // planned demand, including the demand reserved for other instances, by zone
+  double total_demand_ = 0;  // estimate for all instances if proxies join by zone, else of this instance
+  double mean_load_ = 0;     // total demand per serving weight
   double home_fraction_ = 1;
   TableSet tables_;
 };
@@ -186,10 +194,10 @@
 
 LocalityPlanner::LocalityPlanner(const Settings& settings)
     : proxies_join_by_zone_(settings.proxies_by_zone && settings.governors > 1),
-      proxies_avoid_the_busy_(settings.picking == PickingPolicy::two) {}
+      proxies_pick_less_busy_(settings.picking == PickingPolicy::two) {}
 
 TableSet LocalityPlanner::plan(const PlanningView& view) const {
-  Plan plan(view, proxies_join_by_zone_, proxies_avoid_the_busy_);
+  Plan plan(view, proxies_join_by_zone_, proxies_pick_less_busy_);
   const std::size_t zones = view.subsets.layout().zones();
   for (std::size_t choices = 1; choices <= zones; ++choices) {
     for (std::size_t group = 0; group < view.groups.size(); ++group) {
--- a/src/policy/locality_planner.h
+++ b/src/policy/locality_planner.h
@@ -1,5 +1,5 @@
-/// Which replicas each subset's tables hold, and with which weights: proxies keep to their own zone as far as
-/// it has capacity. A pure function of what it is given.
+/// Computes which replicas each subset's tables contain, and with which weights. Proxies use replicas of
+/// their own zone as far as that zone has capacity. The result depends on the arguments alone.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 namespace ospreypost::policy {
 
-/// One routing table: the weight of each replica that may be picked.
+/// The entries of one routing table: the weight of each replica that proxies may pick.
 using TableEntries = std::map<ReplicaId, double>;
 
-/// One table for each subset and routing group.
+/// The routing tables of all proxies: one table for each subset and routing group.
 class TableSet {
  public:
   TableSet(std::size_t subsets, std::size_t groups) : groups_(groups), tables_(subsets * groups) {}
@@ -32,7 +32,7 @@
   std::vector<TableEntries> tables_;
 };
 
-/// What a plan is made from.
+/// The inputs of LocalityPlanner::plan().
 struct PlanningView {
   const ReplicaMap& replicas;
   const SlowStart& slow_start;
@@ -46,15 +46,17 @@
 class LocalityPlanner {
  public:
   explicit LocalityPlanner(const Settings& settings);
-  /// Each zone's proxies keep to their own zone as far as it has capacity against the mean load of all; the
-  /// rest goes where capacity is left. Demand is known late: the fewer and the less alike the proxies of a
-  /// zone and the fuller the replicas, the more of it all zones share. Groups with the fewest zones to choose
-  /// from go first.
+  /// Returns the tables of all subsets.
+  /// The demand of each zone stays in the zone as long as the zone's load is near the mean load of all zones.
+  /// The remaining demand goes to zones with spare capacity.
+  /// Measured demand lags behind actual demand. The part of the demand that is spread over all zones is
+  /// therefore larger if a zone has few or uneven proxies, and if the utilization of the replicas is high.
+  /// Routing groups with the smallest choice of zones are planned first.
   TableSet plan(const PlanningView& view) const;
 
  private:
-  const bool proxies_join_by_zone_;    // proxies go to an instance of their zone, and there are others
-  const bool proxies_avoid_the_busy_;  // they pick the less busy of two
+  const bool proxies_join_by_zone_;    // proxies join an instance of their own zone, and there are several
+  const bool proxies_pick_less_busy_;  // proxies pick the less busy of two random replicas
 };
 
 }  // namespace ospreypost::policy
--- a/src/policy/log_events.h
+++ b/src/policy/log_events.h
@@ -1,6 +1,6 @@
-/// The log lines of the decision module: `event key=value ...`, one event name for each kind. They are
-/// recorded and compared on replay, so a change of a text needs its translation in
-/// src/replay/log_translation.cpp.
+/// The log lines of the decision module, in the form `event key=value ...`.
+/// Replay compares log lines with those of the recording. A change of a text therefore needs a translation of
+/// the earlier text in src/replay/log_translation.cpp.
 #pragma once
 
 #include <cstddef>
@@ -14,27 +14,27 @@
   return " replica=" + std::to_string(static_cast<std::uint32_t>(id));
 }
 
-/// A replica is ejected as an outlier.
+/// Logged when a replica is ejected as an outlier.
 inline std::string breaker_opened(ReplicaId id, Nanos cooldown) {
   const auto milliseconds = cooldown / std::chrono::milliseconds(1);
   return "breaker_opened" + replica_field(id) + " cooldown_ms=" + std::to_string(milliseconds);
 }
 
-/// A replica starts or returns, and has to prove itself.
+/// Logged when a replica starts or returns and has to prove itself.
 inline std::string breaker_half_opened(ReplicaId id) { return "breaker_half_opened" + replica_field(id); }
 
-/// A replica has proven itself.
+/// Logged when a replica has proven itself by enough successes.
 inline std::string breaker_closed(ReplicaId id) { return "breaker_closed" + replica_field(id); }
 
-/// Replicas that warm up are kept out of a congested zone.
+/// Logged when a zone becomes so congested that its replicas that are warming up are kept out of service.
 inline std::string warm_up_held(std::size_t zone) { return "warm_up_held zone=" + std::to_string(zone); }
 
-/// The zone's congestion is over.
+/// Logged when a zone's congestion is over and its replicas that are warming up may serve again.
 inline std::string warm_up_released(std::size_t zone) {
   return "warm_up_released zone=" + std::to_string(zone);
 }
 
-/// A list removed too many replicas at once to be believed.
+/// Logged when an endpoint list removes too many replicas at once to be trusted.
 inline std::string endpoint_list_doubted(std::size_t removed) {
   return "endpoint_list_doubted removed=" + std::to_string(removed);
 }
--- a/src/policy/message_batch.h
+++ b/src/policy/message_batch.h
@@ -1,5 +1,4 @@
-/// The messages of one call on the controller: which entries still fit in the channel, and who gets a
-/// message.
+/// The messages of one publication, with the capacity left in the channel and the subsets that get a message.
 #pragma once
 
 #include <cstddef>
@@ -11,27 +10,29 @@
 
 namespace ospreypost::policy {
 
-/// Guards the channel's queue and the number of messages to one proxy.
+/// Enforces the limits on the channel's queue and on the number of messages to one proxy.
 class MessageBatch {
  public:
-  /// When each subset was last sent a message, and how long it is left alone after one.
+  /// Limits how often each subset is sent a message.
   struct Pacing {
-    const std::vector<Nanos>& last_messages;
-    Nanos min_gap{};
+    const std::vector<Nanos>& last_messages;  ///< time of the last message, by subset
+    Nanos min_gap{};                          ///< minimum time between two messages to a subset
   };
   MessageBatch(ControlChannel& channel, const SubsetAssignment& assignment, Pacing pacing,
                double message_overhead, Nanos now);
 
   enum class Unassigned { excluded, included };
-  /// Takes the capacity for entries to these subsets, and to proxies that belong to none, if they fit. All or
-  /// nothing.
+  /// Reserves channel capacity for `entries` entries to each proxy of the subsets and, if included, to each
+  /// proxy without a subset. Reserves nothing and returns false if not all of the entries fit, or if any of
+  /// the subsets may not be sent a message now.
   bool try_reserve(const std::vector<std::size_t>& subsets, double entries, Unassigned unassigned);
-  /// No later entry may take the next message to the subset.
+  /// Makes try_reserve() fail for the subset until release() is called. The subset's next message thus stays
+  /// available for an urgent entry that did not fit now.
   void hold_back(std::size_t subset) { held_back_[subset] = true; }
   void release(std::size_t subset) { held_back_[subset] = false; }
   bool has_message(std::size_t subset) const { return has_message_[subset]; }
 
-  /// Entries that may still be sent.
+  /// Returns how many entries may still be sent, summed over all proxies.
   double capacity() const { return capacity_; }
   void change_capacity(double entries) { capacity_ += entries; }
   double message_overhead() const { return message_overhead_; }
@@ -46,8 +47,8 @@
   const Nanos now_;
   double message_overhead_;
   double capacity_;
-  std::vector<bool> has_message_;  // by subset
-  std::vector<bool> held_back_;    // by subset
+  std::vector<bool> has_message_;  // by subset: whether the batch has a message to the subset
+  std::vector<bool> held_back_;    // by subset: whether hold_back() excludes the subset
   bool unassigned_have_message_ = false;
 };
 
--- a/src/policy/numeric.h
+++ b/src/policy/numeric.h
@@ -1,4 +1,4 @@
-/// Small helpers for seconds and sums.
+/// Helpers for durations and sums.
 #pragma once
 
 #include <numeric>
@@ -8,10 +8,10 @@
 
 namespace ospreypost::policy {
 
-/// One value for each zone, block or class.
+/// A list with one value for each zone, block or class.
 using Values = std::vector<double>;
 
-/// Keeps divisions defined where nothing was seen yet.
+/// Lower bound for divisors that are 0 before the first observation.
 inline constexpr double kTiny = 1e-9;
 
 inline double to_seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
--- a/src/policy/observations.h
+++ b/src/policy/observations.h
@@ -1,4 +1,4 @@
-/// What the decision module is told about the fleet.
+/// The events that the decision module receives about the fleet.
 #pragma once
 
 #include <cstdint>
@@ -17,21 +17,22 @@
   CellId cell{};
   EndpointPhase phase = EndpointPhase::ready;
   double weight = 1;
-  std::optional<Nanos> started;  ///< absent: long ago
+  std::optional<Nanos> started;  ///< start of the replica's process; empty: too long ago to matter
 };
 
-/// What the joined proxies of one zone saw of one replica over a span that ended some time ago.
+/// The outcomes of one zone's proxies' attempts at one replica, over a span that ended a short time ago.
+/// A report counts only the proxies that are joined to this instance.
 struct ReplicaLoadReport {
   ZoneId zone{};
   ReplicaId replica{};
   std::uint32_t attempts = 0;
   std::uint32_t failed = 0;
-  Nanos mean_latency{};  ///< of the attempts that succeeded; 0 if none did
-  Nanos span{};
-  std::vector<float> load;  ///< in the order of `Settings::load_columns`; empty if none came
+  Nanos mean_latency{};     ///< mean over the attempts that succeeded; 0 if none did
+  Nanos span{};             ///< time that the report covers
+  std::vector<float> load;  ///< values in the order of `Settings::load_columns`; empty if none were reported
 };
 
-/// The requests of one class that one proxy was sent over a span.
+/// The requests of one class that arrived at one proxy over a span.
 struct DemandReport {
   ClassId cls{};
   std::uint32_t operations = 0;
@@ -45,7 +46,7 @@
   bool answered = false;
   bool refused = false;
   Nanos took{};
-  std::vector<float> load;  ///< in the order of `Settings::load_columns`
+  std::vector<float> load;  ///< values in the order of `Settings::load_columns`
 };
 
 }  // namespace ospreypost
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -8,27 +8,28 @@
 namespace ospreypost::policy {
 namespace {
 
-/// Of a replica's attempts, so many must fail, above what the others see.
+/// A breaker trips if the replica's failure ratio exceeds that of all other replicas by this amount.
 constexpr double kTripFailureRatio = 0.5;
-/// And so many in number.
+/// Minimum number of failures, after their decay, that trips a closed breaker.
 constexpr double kTripFailures = 4;
-/// Fewer while it is half-open or its removal is doubted.
+/// Minimum number of failures that trips a half-open breaker or that of a replica whose removal is doubted.
 constexpr double kRetripFailures = 2;
-/// Where a usual replica sees few attempts, so much of those suffices,
-constexpr double kThinTrafficFailures = 0.5;
-/// but more than the others' failures would bring by chance, with this probability.
+/// Thin traffic reduces the minimum number of failures to this fraction of the mean attempts at a replica.
+constexpr double kThinTrafficFailureFraction = 0.5;
+/// Maximum probability that a healthy replica reaches the reduced minimum number of failures by chance.
 constexpr double kChanceProbability = 1e-4;
+/// Minimum failure ratio of healthy replicas that is assumed when chance failures are estimated.
 constexpr double kUsualFailureRatio = 0.02;
-/// What is full, not faulty, succeeds with more than this fraction of its attempts.
-constexpr double kAliveSuccessRatio = 0.1;
+/// Minimum fraction of successful attempts for a replica to count as full rather than faulty.
+constexpr double kFullReplicaSuccessRatio = 0.1;
 
-/// The number of failures that trips a closed breaker. Against thin traffic: where a usual replica sees few
-/// attempts, one that fails them all would never meet a fixed count.
+/// Returns the minimum number of failures that trips a closed breaker. A fixed minimum would not work with
+/// thin traffic: if replicas see few attempts, a replica that fails all of them would never reach it.
 double failures_to_trip(const FleetStatistics& fleet, double others_failure_ratio) {
-  const double chance = std::clamp(others_failure_ratio, kUsualFailureRatio, kTripFailureRatio);
-  const double beyond_chance = std::log(kChanceProbability) / std::log(chance);
-  const double of_thin_traffic = kThinTrafficFailures * fleet.attempts / fleet.serving_replicas;
-  return std::clamp(of_thin_traffic, std::min(beyond_chance, kTripFailures), kTripFailures);
+  const double chance_failure_ratio = std::clamp(others_failure_ratio, kUsualFailureRatio, kTripFailureRatio);
+  const double failures_beyond_chance = std::log(kChanceProbability) / std::log(chance_failure_ratio);
+  const double thin_traffic_failures = kThinTrafficFailureFraction * fleet.attempts / fleet.serving_replicas;
+  return std::clamp(thin_traffic_failures, std::min(failures_beyond_chance, kTripFailures), kTripFailures);
 }
 
 }  // namespace
@@ -41,17 +42,19 @@
   const Nanos evidence_time = clock_.evidence_time();
   const double attempts = replica.outcomes.attempts.read(evidence_time);
   const double failed = replica.outcomes.failed.read(evidence_time);
-  // Against overload looking like a fault: what fails everywhere is no replica's own fault.
-  const double others = (fleet.failed - failed) / std::max(1.0, fleet.attempts - attempts);
-  // A replica that is only full reports so and succeeds sometimes; one that is faulty is idle or does not
-  // report.
+  // Failures that all replicas share indicate overload or a fault elsewhere. Only a failure ratio above the
+  // ratio of the other replicas counts against this replica.
+  const double others_failure_ratio = (fleet.failed - failed) / std::max(1.0, fleet.attempts - attempts);
+  // A replica that is only full reports a high load and some of its attempts succeed. A faulty replica
+  // reports a low load or none.
   const double full_load =
       std::max(fleet.mean_reported_load, load_signal_.is_count() ? 0 : kTargetUtilization);
   const auto load = load_signal_.reported_load(replica, evidence_time);
-  const bool is_full = load && *load >= full_load && attempts - failed > kAliveSuccessRatio * attempts;
-  const bool little_suffices = replica.breaker.is_half_open() || replica.endpoint.removal_doubted;
-  const double enough = little_suffices ? kRetripFailures : failures_to_trip(fleet, others);
-  return failed > attempts * (kTripFailureRatio + others) && !is_full && failed >= enough;
+  const bool is_full = load && *load >= full_load && attempts - failed > kFullReplicaSuccessRatio * attempts;
+  const bool has_lower_threshold = replica.breaker.is_half_open() || replica.endpoint.removal_doubted;
+  const double min_failures =
+      has_lower_threshold ? kRetripFailures : failures_to_trip(fleet, others_failure_ratio);
+  return failed > attempts * (kTripFailureRatio + others_failure_ratio) && !is_full && failed >= min_failures;
 }
 
 bool OutlierDetector::evaluate(ReplicaMap& replicas, const FleetStatistics& fleet) const {
@@ -68,7 +71,7 @@
       confirm(id, replica);
       continue;
     }
-    // Against many ejections at once when all are slow together: what is left would be overloaded.
+    // The limit prevents many ejections at once when all replicas are slow, which would overload the rest.
     const bool fits_limit = ejected_weight + replica.endpoint.weight <= max_ejected_weight;
     if (!replica.endpoint.removal_doubted && !fits_limit) continue;
     trip(id, replica);
@@ -87,9 +90,10 @@
 
 void OutlierDetector::half_open(ReplicaId id, Replica& replica) const {
   replica.breaker.half_open(clock_.now());
-  // Reports that arrive now were counted before the change that we answer them with.
+  // Reports that arrive within a report's span and the message delay are ignored. They cover attempts from
+  // before the proxies applied the half-open weight.
   replica.outcomes = {};
-  replica.outcomes_count_from = clock_.now() + from_seconds(clock_.report_span_seconds()) + message_delay_;
+  replica.reports_accepted_from = clock_.now() + from_seconds(clock_.report_span_seconds()) + message_delay_;
   actions_.log(log_events::breaker_half_opened(id));
 }
 
@@ -99,15 +103,16 @@
   if (closed) actions_.log(log_events::breaker_closed(id));
 }
 
-ReplicaMap::value_type* OutlierDetector::find_unserved(ReplicaMap& replicas, const RoutingGroup& group,
-                                                       std::size_t zone, const SlowStart& slow_start) const {
+ReplicaMap::value_type* OutlierDetector::find_replica_to_restore(ReplicaMap& replicas,
+                                                                 const RoutingGroup& group, std::size_t zone,
+                                                                 const SlowStart& slow_start) const {
   ReplicaMap::value_type* first_due = nullptr;
   for (auto& entry : replicas) {
     const auto& replica = entry.second;
     if (!replica.is_ready() || !group.may_use(zone, replica)) continue;
     if (slow_start.may_serve(replica, clock_.now())) return nullptr;
-    const bool is_earlier =
-        first_due == nullptr || replica.breaker.reopens_at() < first_due->second.breaker.reopens_at();
+    const bool is_earlier = first_due == nullptr ||
+                            replica.breaker.cooldown_ends_at() < first_due->second.breaker.cooldown_ends_at();
     if (is_earlier) first_due = &entry;
   }
   return first_due;
@@ -117,7 +122,7 @@
                                         std::size_t zones, SlowStart& slow_start) const {
   for (const auto& group : groups) {
     for (std::size_t zone = 0; zone < zones; ++zone) {
-      auto* first_due = find_unserved(replicas, group, zone, slow_start);
+      auto* first_due = find_replica_to_restore(replicas, group, zone, slow_start);
       if (first_due == nullptr) continue;
       slow_start.release_all();
       half_open(first_due->first, first_due->second);
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,4 +1,4 @@
-/// Ejects replicas that fail live requests, and lets them return half-open.
+/// Ejects replicas at which too many attempts fail, and returns them to service half-open.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace ospreypost::policy {
 
-/// Of the ready weight that breakers may hold out at once.
+/// Maximum fraction of the listed weight of ready replicas that may be ejected as outliers at once.
 inline constexpr double kMaxEjectedWeightFraction = 0.34;
 
 class OutlierDetector {
@@ -22,12 +22,14 @@
   OutlierDetector(const Settings& settings, const LoadSignal& load_signal, const EvidenceClock& clock,
                   ActionSink& actions);
 
-  /// Trips, half-opens and closes breakers by the evidence. True if any tripped.
+  /// Trips, half-opens and closes breakers according to the outcomes of attempts.
+  /// Returns true if any breaker tripped.
   bool evaluate(ReplicaMap& replicas, const FleetStatistics& fleet) const;
-  /// Lets a replica serve at the floor until there is evidence; what was known of it counts no more.
+  /// Lets a replica serve at the floor until there is new evidence, and discards its earlier outcomes.
   void half_open(ReplicaId id, Replica& replica) const;
-  /// No ejection may leave a group of classes without endpoints: where none serves it in a zone, the replica
-  /// that is due first returns at once, and no replica is kept out for warming up.
+  /// Prevents ejections from leaving a routing group without endpoints.
+  /// If no replica serves a group for the proxies of a zone, the replica whose cooldown ends first returns at
+  /// once. Replicas that are warming up are then no longer kept out of service in any zone.
   void restore_endpoints(ReplicaMap& replicas, const std::vector<RoutingGroup>& groups, std::size_t zones,
                          SlowStart& slow_start) const;
 
@@ -35,10 +37,10 @@
   bool is_failing(const Replica& replica, const FleetStatistics& fleet) const;
   void trip(ReplicaId id, Replica& replica) const;
   void confirm(ReplicaId id, Replica& replica) const;
-  /// Of the replicas that a group may use from a zone, the one that is due first; none if any serves, or
-  /// there is none.
-  ReplicaMap::value_type* find_unserved(ReplicaMap& replicas, const RoutingGroup& group, std::size_t zone,
-                                        const SlowStart& slow_start) const;
+  /// Returns the replica whose cooldown ends first among the ready replicas that the group may use from the
+  /// zone. Returns null if any of these replicas serves, or if there is no such replica.
+  ReplicaMap::value_type* find_replica_to_restore(ReplicaMap& replicas, const RoutingGroup& group,
+                                                  std::size_t zone, const SlowStart& slow_start) const;
 
   const Nanos message_delay_;
   const LoadSignal& load_signal_;
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,4 +1,5 @@
-/// What the controller knows of one replica. Each member belongs to the part of the module that changes it.
+/// The state that the controller keeps for each replica.
+/// Different parts of the decision module maintain different members.
 #pragma once
 
 #include <cstddef>
@@ -11,35 +12,36 @@
 
 namespace ospreypost::policy {
 
-/// A replica as the endpoint list gave it last; changed by `EndpointMembership` alone, but for a doubted
-/// replica that the outlier detector gives up.
+/// A replica as last given by the endpoint list. Only `EndpointMembership` changes it, with one exception:
+/// `OutlierDetector` marks a replica as gone if its removal was doubted and its attempts fail.
 struct ListedEndpoint {
   std::size_t zone = 0;
   HardwareKindId kind{};
   CellId cell{};
   double weight = 1;
   EndpointPhase phase = EndpointPhase::gone;
-  /// The list dropped it, and may be wrong.
+  /// Whether the list dropped the replica together with so many others that the removal may be an error.
   bool removal_doubted = false;
-  std::optional<Nanos> started;  ///< absent: long ago
-  Nanos last_listed{};           ///< as seen by the control loop
+  std::optional<Nanos> started;  ///< start of the replica's process; empty: too long ago to matter
+  Nanos last_listed{};           ///< last iteration of the control loop in which the replica was not gone
 };
 
 struct Replica {
   ListedEndpoint endpoint;
-  std::size_t block = 0;  ///< of its zone's blocks; by `SubsetAssignment`
-  CircuitBreaker breaker;
-  /// Since when it is new here; absent once it was ejected as an outlier.
+  std::size_t block = 0;   ///< index among the blocks of the replica's zone; set by `SubsetAssignment`
+  CircuitBreaker breaker;  ///< changed by `OutlierDetector`
+  /// Time at which the replica last started or became ready in the list.
+  /// Empty for a replica that was known and warm before this instance started, and after an outlier ejection.
   std::optional<Nanos> added;
-  double load_step = 1;  ///< by `LoadFeedback`
+  double load_correction = 1;  ///< factor of the listed weight; set by `LoadFeedback`
   OutcomeStatistics outcomes;
-  Nanos outcomes_count_from{};  ///< reports that came earlier speak of another incarnation or state
-  bool ejected = false;         ///< as published
+  Nanos reports_accepted_from{};  ///< earlier reports cover a previous incarnation or breaker state
+  bool ejected = false;           ///< ejection state as last sent to proxies; set by `TablePublisher`
 
   bool is_ready() const { return endpoint.phase == EndpointPhase::ready; }
   bool is_gone() const { return endpoint.phase == EndpointPhase::gone; }
-  /// Its weight as corrected by its reported load.
-  double stepped_weight() const { return endpoint.weight * load_step; }
+  /// Returns the listed weight corrected by reported load.
+  double corrected_weight() const { return endpoint.weight * load_correction; }
 };
 
 using ReplicaMap = std::map<ReplicaId, Replica>;
--- a/src/policy/request_classes.h
+++ b/src/policy/request_classes.h
@@ -1,5 +1,5 @@
-/// The request classes as the module works with them: what a request costs, which share tables, and how many
-/// come.
+/// The request classes as the decision module uses them: the work of a request, the classes that share
+/// routing tables, and the demand for each class.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 
 namespace ospreypost::policy {
 
-/// Classes that may go to the same replicas share a table in each subset.
+/// Request classes that may be routed to the same replicas. They share one routing table in each subset.
 struct RoutingGroup {
   ClassMask classes = 0;
   bool same_zone_only = false;
-  std::vector<ZoneId> allowed_zones;          ///< empty: all
-  std::vector<HardwareKindId> allowed_kinds;  ///< empty: all
+  std::vector<ZoneId> allowed_zones;          ///< empty: all zones
+  std::vector<HardwareKindId> allowed_kinds;  ///< empty: all hardware kinds
 
-  /// Whether proxies of a zone may send requests of these classes to the replica.
+  /// Returns whether proxies of a zone may send requests of these classes to the replica.
   bool may_use(std::size_t proxy_zone, const Replica& replica) const;
-  /// Zones that a proxy may choose from, of `zones` in all.
+  /// Returns how many of `zones` zones a proxy may send requests of these classes to.
   std::size_t zone_choices(std::size_t zones) const;
 };
 
-/// The classes of the settings, and the demand for each.
+/// The request classes of the settings, with the recent demand for each class.
 class RequestClasses {
  public:
   explicit RequestClasses(const Settings& settings);
@@ -33,14 +33,14 @@
   std::size_t count() const { return work_.size(); }
   const std::vector<RoutingGroup>& groups() const { return groups_; }
   std::size_t group_of(std::size_t cls) const { return group_of_[cls]; }
-  /// The work of one request, in seconds: no report tells it, but a class that takes longer is given more
-  /// time.
+  /// Returns the estimated work of one request of the class, in seconds. No report measures work, so the
+  /// latency objective is used instead: classes with longer processing have longer objectives.
   double work_of(std::size_t cls) const { return work_[cls]; }
   const Values& priority_by_work() const { return priority_by_work_; }
 
   void add_demand(std::size_t cls, double requests, Nanos evidence_time);
   double demand_of(std::size_t cls, Nanos evidence_time) const { return demand_[cls].read(evidence_time); }
-  /// The mean work of the requests that come, in seconds.
+  /// Returns the mean work of one request over the recent demand, in seconds.
   double mean_work(Nanos evidence_time) const;
 
  private:
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,8 +7,10 @@
 namespace ospreypost::policy {
 namespace {
 
-// Of the way to the congestion that overloads a replica which warms up.
+/// Congestion of a zone above which replicas that are warming up are kept out of service. Congestion is 0 at
+/// one attempt per success, and 1 if the attempts per success equal the overload multiple.
 constexpr double kHoldCongestion = 0.15;
+/// Congestion of a zone up to which replicas that are warming up may serve again.
 constexpr double kReleaseCongestion = 0.1;
 
 constexpr double kMinInitialCapacity = 0.01;
@@ -34,34 +36,38 @@
 
 double SlowStart::ramp_fraction(const Replica& replica, Nanos now) const {
   if (const auto anchored_at = replica.breaker.anchored_at()) {
-    const double climbed = to_seconds(now - *anchored_at);
-    return kFloor * kAnchor + (1 - kFloor * kAnchor) * climbed / to_seconds(kClimbDuration);
+    const double climb_seconds = to_seconds(now - *anchored_at);
+    return kFloor * kAnchor + (1 - kFloor * kAnchor) * climb_seconds / to_seconds(kClimbDuration);
   }
   return replica.breaker.is_half_open() ? kFloor : 1;
 }
 
 double SlowStart::weight_fraction(const Replica& replica, Nanos now, double pressure) const {
   double fraction = ramp_fraction(replica, now);
-  // Against thin traffic holding back what nobody doubts: a new replica climbs at least as it is sure to
-  // warm. Not while too much is asked of all, if that can overload it: proxies come down on the newest entry.
+  // With thin traffic it takes long to collect evidence, which would hold back a healthy new replica. The
+  // fraction of a new replica therefore rises at least linearly over its warm-up, even without evidence.
+  // This does not apply while the fleet is overloaded, if overload can make the replica fail during its
+  // warm-up: proxies then send most of their attempts to the newest entry.
   if (replica.added && (pressure <= 1 || !overloads_while_warming_up_)) {
-    const double since_added = to_seconds(now - *replica.added);
-    fraction = std::max(fraction, kFloor + (1 - kFloor) * since_added / to_seconds(warm_up_duration_));
+    const double seconds_since_added = to_seconds(now - *replica.added);
+    fraction =
+        std::max(fraction, kFloor + (1 - kFloor) * seconds_since_added / to_seconds(warm_up_duration_));
   }
-  double warmed = 1;
+  double warm_fraction = 1;
   if (is_warming_up(replica, now)) {
-    warmed = std::max(0.0, to_seconds(now - *replica.endpoint.started) / to_seconds(warm_up_duration_));
+    warm_fraction =
+        std::max(0.0, to_seconds(now - *replica.endpoint.started) / to_seconds(warm_up_duration_));
   }
-  return std::min({1.0, fraction, initial_capacity_ + (1 - initial_capacity_) * warmed});
+  return std::min({1.0, fraction, initial_capacity_ + (1 - initial_capacity_) * warm_fraction});
 }
 
 double SlowStart::weight_of(const Replica& replica, Nanos now, double pressure) const {
-  return replica.stepped_weight() * weight_fraction(replica, now, pressure);
+  return replica.corrected_weight() * weight_fraction(replica, now, pressure);
 }
 
 void SlowStart::update_holds(const Values& attempts_per_success, ActionSink& actions) {
   for (std::size_t zone = 0; zone < holds_.size(); ++zone) {
-    // Where zones keep to themselves one may be congested alone.
+    // Each zone is judged alone, since a single zone may be congested where proxies use only their own zone.
     const double congestion = (attempts_per_success[zone] - 1) / (overload_multiple_ - 1);
     const bool hold = congestion > (holds_[zone] ? kReleaseCongestion : kHoldCongestion);
     if (hold != holds_[zone]) {
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,5 +1,5 @@
-/// The fraction of its weight that a replica is given while it recovers or warms up, and whether one that
-/// warms up is kept out of a congested zone.
+/// Slow start: reduces the weight of replicas that recover or warm up. Also keeps replicas that are warming
+/// up out of service while their zone is congested.
 #pragma once
 
 #include <cstddef>
@@ -12,32 +12,36 @@
 
 namespace ospreypost::policy {
 
-/// Fraction of the listed weight on return from an ejection.
+/// Fraction of its weight that a replica gets when its breaker becomes half-open.
 inline constexpr double kFloor = 0.2;
-/// The one doubling, with the first sound evidence.
+/// Factor by which a replica's fraction rises above the floor, once, at the first sound evidence.
 inline constexpr double kAnchor = 2.0;
 
 class SlowStart {
  public:
   explicit SlowStart(const Settings& settings);
 
-  /// Started so lately that it has not its full capacity yet, whatever its breaker says.
+  /// Returns whether the replica started so recently that it may not have its full capacity yet.
+  /// The result does not depend on the state of the breaker.
   bool is_warming_up(const Replica& replica, Nanos now) const;
-  /// Ready, not ejected as an outlier, and not kept out while it warms up in a congested zone.
+  /// Returns whether the replica is ready, is not ejected as an outlier, and is not kept out of service
+  /// because it is warming up in a congested zone.
   bool may_serve(const Replica& replica, Nanos now) const;
 
-  /// The fraction of its weight for a replica, from 0 to 1: the recovery ramp, and while it warms up never
-  /// more than the capacity it is sure to have by now, warming no slower than evenly. `pressure` is that of
-  /// the fleet; above 1 is overload.
+  /// Returns the fraction of its weight that a replica gets, from 0 to 1.
+  /// The fraction follows the recovery ramp. During warm-up the fraction is also limited to the capacity that
+  /// the replica is certain to have by now, since capacity rises at least linearly.
+  /// `pressure` is the pressure of the fleet; a value above 1 means overload.
   double weight_fraction(const Replica& replica, Nanos now, double pressure) const;
-  /// The weight that goes with it: listed, corrected by reported load.
+  /// Returns the replica's weight: the listed weight, corrected by reported load, times weight_fraction().
   double weight_of(const Replica& replica, Nanos now, double pressure) const;
 
-  /// Keeps replicas that warm up out of congested zones, by attempts that it takes for one success in each
-  /// zone. Guards against congestion: proxies avoid what failed them and come down on the newest entry, so no
-  /// weight is small enough. Logs each change.
+  /// Keeps replicas that are warming up out of service in congested zones, and logs each change.
+  /// A zone is congested if a success takes too many attempts in that zone.
+  /// Proxies in a congested zone avoid replicas whose attempts failed and pick the new replicas instead, so
+  /// that no weight of a new replica is small enough to keep it from being overloaded.
   void update_holds(const Values& attempts_per_success, ActionSink& actions);
-  /// Lets all of them in again, where a class has no other replica.
+  /// Lets replicas that are warming up serve in all zones. Called if a routing group has no other replica.
   void release_all();
 
  private:
@@ -46,8 +50,8 @@
   const double initial_capacity_;
   const Nanos warm_up_duration_;
   const double overload_multiple_;
-  const bool overloads_while_warming_up_;  // it can be overloaded for long enough to fail before it is warm
-  std::vector<bool> holds_;                // by zone
+  const bool overloads_while_warming_up_;  // overload can make a replica fail before it is warm
+  std::vector<bool> holds_;                // by zone: whether replicas that are warming up are kept out
 };
 
 }  // namespace ospreypost::policy
--- a/src/policy/subset_assignment.cpp
+++ b/src/policy/subset_assignment.cpp
@@ -7,16 +7,18 @@
 namespace ospreypost::policy {
 namespace {
 
-/// In which all first tables are sent, on a channel at the pace that is counted on.
+/// Time in which the channel can send the first tables to all proxies of an instance.
 constexpr Nanos kFirstTablesDuration = std::chrono::seconds(4);
-/// Of the connections that the smallest replica accepts, if each entry had one open.
+/// Maximum fraction of the connections accepted by the smallest replica that proxies may open.
+/// Each proxy is assumed to open one connection for each of its table entries.
 constexpr double kMaxOpenConnections = 0.5;
 constexpr double kMinTableEntries = 8;
-/// Between the loads of two subsets of a zone, before a proxy migrates.
+/// Relative difference between the loads of two subsets of a zone up to which no proxy migrates.
 constexpr double kMigrationBand = 0.15;
 
-// What makes two replicas of one block alike.
+/// Extra cost of adding a replica to a block, for each replica of the same cell in the block.
 constexpr double kSameCellCost = 1;
+/// Extra cost of adding a replica to a block, for each replica of the same hardware kind in the block.
 constexpr double kSameKindCost = 0.5;
 
 }  // namespace
@@ -25,7 +27,7 @@
 
 SubsetAssignment::SubsetAssignment(const Settings& settings, const RequestClasses& classes)
     : classes_(classes),
-      tables_are_ours_(settings.slices == 0),
+      manages_tables_(settings.slices == 0),
       all_proxies_(std::max(1.0, static_cast<double>(settings.proxies))),
       proxies_by_instance_(all_proxies_ / std::max(1.0, static_cast<double>(settings.governors))),
       min_replica_connections_(settings.min_replica_connections),
@@ -52,33 +54,35 @@
 }
 
 void SubsetAssignment::lay_out(ReplicaMap& replicas, const TableLimits& limits) {
-  if (!subsets_.empty() || replicas.empty() || !tables_are_ours_) return;
-  Values count(layout_.zones());
+  if (!subsets_.empty() || replicas.empty() || !manages_tables_) return;
+  Values replica_counts(layout_.zones());
   for (const auto& [id, replica] : replicas) {
-    if (!replica.is_gone()) count[replica.endpoint.zone] += 1;
+    if (!replica.is_gone()) replica_counts[replica.endpoint.zone] += 1;
   }
-  const double max_entries = max_table_entries(sum_of(count), limits);
+  const double max_entries = max_table_entries(sum_of(replica_counts), limits);
   for (std::size_t zone = 0; zone < layout_.zones(); ++zone) {
-    layout_.blocks[zone] = static_cast<std::size_t>(std::max(1.0, std::round(count[zone] / max_entries)));
+    layout_.blocks[zone] =
+        static_cast<std::size_t>(std::max(1.0, std::round(replica_counts[zone] / max_entries)));
     layout_.first_subset[zone] = subsets_.size();
     subsets_.resize(subsets_.size() + layout_.blocks[zone], Subset{Values(classes_.groups().size())});
   }
-  // A number past the last block: not placed yet.
+  // A block number past the last block marks a replica that is not placed yet.
   for (auto& [id, replica] : replicas) replica.block = layout_.blocks[replica.endpoint.zone];
   for (auto& [id, replica] : replicas) assign_block(replica, replicas);
 }
 
 void SubsetAssignment::assign_block(Replica& replica, const ReplicaMap& replicas) const {
   const auto& endpoint = replica.endpoint;
-  Values taken(layout_.blocks[endpoint.zone]);
+  Values block_costs(layout_.blocks[endpoint.zone]);
   for (const auto& [id, other] : replicas) {
     if (&other == &replica || other.endpoint.zone != endpoint.zone || other.is_gone()) continue;
-    if (other.block >= taken.size()) continue;
+    if (other.block >= block_costs.size()) continue;
     const double same_cell = other.endpoint.cell == endpoint.cell ? kSameCellCost : 0;
     const double same_kind = other.endpoint.kind == endpoint.kind ? kSameKindCost : 0;
-    taken[other.block] += 1 + same_cell + same_kind;
+    block_costs[other.block] += 1 + same_cell + same_kind;
   }
-  replica.block = static_cast<std::size_t>(std::min_element(taken.begin(), taken.end()) - taken.begin());
+  replica.block = static_cast<std::size_t>(std::min_element(block_costs.begin(), block_costs.end()) -
+                                           block_costs.begin());
 }
 
 void SubsetAssignment::add_proxy(ProxyId id, std::size_t zone, double usual_requests_per_second,
@@ -86,11 +90,11 @@
   auto& proxy = proxies_[id];
   proxy.zone = zone;
   proxy.demand.assign(classes_.groups().size(), DecayingSum{kDemandHalfLife});
-  // Until its reports arrive, what it usually gets stands in for them.
-  const double usual = usual_requests_per_second / std::numbers::ln2 * to_seconds(kDemandHalfLife);
+  // The proxy's usual request rate stands in for its demand until its first reports arrive.
+  const double usual_demand = usual_requests_per_second / std::numbers::ln2 * to_seconds(kDemandHalfLife);
   const auto classes = static_cast<double>(classes_.count());
   for (std::size_t cls = 0; cls < classes_.count(); ++cls) {
-    proxy.demand[classes_.group_of(cls)].add(evidence_time, usual * classes_.work_of(cls) / classes);
+    proxy.demand[classes_.group_of(cls)].add(evidence_time, usual_demand * classes_.work_of(cls) / classes);
   }
 }
 
@@ -150,9 +154,9 @@
 std::optional<SubsetAssignment::Migration> SubsetAssignment::find_migration(std::size_t zone) const {
   const auto [least_loaded, most_loaded] = extremes(zone);
   const auto& source = subsets_[most_loaded];
-  const double gap = 1 - subsets_[least_loaded].load() / std::max(kTiny, source.load());
-  if (gap <= kMigrationBand) return std::nullopt;
-  const double max_work = sum_of(source.demand) * gap / 2;
+  const double load_gap = 1 - subsets_[least_loaded].load() / std::max(kTiny, source.load());
+  if (load_gap <= kMigrationBand) return std::nullopt;
+  const double max_work = sum_of(source.demand) * load_gap / 2;
   std::optional<Migration> migration;
   double moved_work = 0;
   for (const auto& [id, proxy] : proxies_) {
--- a/src/policy/subset_assignment.h
+++ b/src/policy/subset_assignment.h
@@ -1,4 +1,4 @@
-/// Blocks of replicas, the subsets of proxies that use them, and which proxy belongs to which subset.
+/// Divides replicas into blocks and proxies into subsets. The proxies of a subset use one block of replicas.
 #pragma once
 
 #include <cstddef>
@@ -17,36 +17,36 @@
 
 struct Proxy {
   std::size_t zone = 0;
-  std::optional<std::size_t> subset;  ///< that it is bound to
-  std::vector<DecayingSum> demand;    ///< by routing group, in work
-  double work = 0;                    ///< of all groups, as of the last iteration
+  std::optional<std::size_t> subset;  ///< subset that the proxy is bound to; empty before the first binding
+  std::vector<DecayingSum> demand;    ///< recent demand by routing group, in seconds of work
+  double work = 0;                    ///< demand of all groups, as of the last update_demand()
 };
 
 using ProxyMap = std::map<ProxyId, Proxy>;
 
-/// How each zone's replicas are divided into blocks. Each block has one subset of the zone's proxies, and a
-/// zone's subsets are numbered together, in the order of its blocks.
+/// How each zone's replicas are divided into blocks. Each block is used by one subset of the zone's proxies.
+/// The subsets of a zone have consecutive numbers, in the order of the zone's blocks.
 struct SubsetLayout {
   explicit SubsetLayout(std::size_t zones) : blocks(zones, 1), first_subset(zones) {}
-  std::vector<std::size_t> blocks;        ///< by zone
-  std::vector<std::size_t> first_subset;  ///< by zone
+  std::vector<std::size_t> blocks;        ///< number of blocks, by zone
+  std::vector<std::size_t> first_subset;  ///< number of the first subset, by zone
   std::size_t zones() const { return blocks.size(); }
 };
 
-/// The proxies that share one table for each routing group, and its messages.
+/// A group of proxies that share one table for each routing group and are sent the same messages.
 struct Subset {
-  Values demand;        ///< by routing group
-  double capacity = 0;  ///< weight of the block's replicas
-  double proxies = 0;
+  Values demand;        ///< demand of the subset's proxies, by routing group
+  double capacity = 0;  ///< weight of the serving replicas of the subset's block
+  double proxies = 0;   ///< number of proxies
   double load() const;
 };
 
-/// The demand of all proxies, by where it comes from.
+/// The demand of all proxies of this instance, by the zone of the proxies.
 struct ProxyDemand {
   ProxyDemand(std::size_t groups, std::size_t zones) : by_group(groups, Values(zones)), by_zone(zones) {}
-  std::vector<Values> by_group;  ///< by routing group and zone
-  Values by_zone;                ///< of all groups
-  double unevenness = 0;         ///< how much the proxies of a zone differ
+  std::vector<Values> by_group;  ///< demand by routing group and zone
+  Values by_zone;                ///< demand of all routing groups, by zone
+  double unevenness = 0;         ///< is larger the fewer and the more different the proxies of a zone are
 };
 
 class SubsetAssignment {
@@ -56,22 +56,22 @@
   const ProxyMap& proxies() const { return proxies_; }
   const SubsetLayout& layout() const { return layout_; }
   const std::vector<Subset>& subsets() const { return subsets_; }
-  /// The part of all instances' proxies that this one has.
+  /// Returns the fraction of all instances' proxies that are joined to this instance.
   double own_share() const;
-  /// Proxies that are bound to no subset.
+  /// Returns the number of proxies that are bound to no subset.
   double unassigned_proxies() const;
 
-  /// What limits the size of a table.
+  /// The properties of the channel that limit the size of a table.
   struct TableLimits {
-    double entries_per_second = 0;  ///< of the channel
-    double message_overhead = 0;
+    double entries_per_second = 0;  ///< rate of the channel
+    double message_overhead = 0;    ///< fixed cost of a message, in entries
   };
-  /// Divides the replicas once there are any. Guards the channel and the connections against tables that grow
-  /// with the fleet: each zone has as many blocks as keep its tables within what its proxies can be sent in
-  /// time, and within the connections that its replicas accept. A small zone has one block.
+  /// Divides the replicas into blocks. Only the first call with any replicas has an effect.
+  /// Tables must not grow with the fleet, so a large zone gets several blocks. Tables must be small enough to
+  /// be sent to all proxies in time, and small enough that no replica gets more connections than it accepts.
   void lay_out(ReplicaMap& replicas, const TableLimits& limits);
-  /// Puts a replica in one of its zone's blocks, evenly over blocks, cells and kinds: a fault of one cell
-  /// must leave each table enough.
+  /// Puts a replica into a block of its zone. Keeps the blocks equal in size, and spreads cells and hardware
+  /// kinds over them, so that a fault of one cell leaves enough replicas in each table.
   void assign_block(Replica& replica, const ReplicaMap& replicas) const;
 
   void add_proxy(ProxyId id, std::size_t zone, double usual_requests_per_second, Nanos evidence_time);
@@ -81,16 +81,18 @@
   void update_capacities(const ReplicaMap& replicas, const SlowStart& slow_start, Nanos now, double pressure);
   ProxyDemand update_demand(Nanos evidence_time);
 
-  /// The zone's subset with the least load for its capacity.
+  /// Returns the zone's subset with the lowest demand relative to its capacity.
   std::size_t least_loaded(std::size_t zone) const { return extremes(zone).least_loaded; }
   struct Migration {
     ProxyId proxy{};
-    std::size_t subset = 0;  ///< to which it moves
+    std::size_t subset = 0;  ///< subset to which the proxy moves
   };
-  /// Proxies differ, their streams change and blocks lose replicas, so subsets drift apart. Proxies move one
-  /// by one from the most loaded of a zone to the least loaded: that costs less than a change of every entry.
+  /// Returns the proxy to move from the most loaded to the least loaded subset of a zone.
+  /// Empty if the loads of the subsets are close.
+  /// Loads of subsets drift apart because proxies differ, their demand changes and blocks lose replicas.
+  /// Moving single proxies costs fewer entries than changing every entry of the tables.
   std::optional<Migration> find_migration(std::size_t zone) const;
-  /// Notes that the proxy belongs to the subset from now on.
+  /// Records that the proxy belongs to the subset from now on.
   void assign(ProxyId id, std::size_t subset, Nanos evidence_time);
 
  private:
@@ -102,7 +104,7 @@
   double max_table_entries(double replicas, const TableLimits& limits) const;
 
   const RequestClasses& classes_;
-  const bool tables_are_ours_;  // without slices
+  const bool manages_tables_;  // true without slices; with slices the controller publishes no tables
   const double all_proxies_;
   const double proxies_by_instance_;
   const double min_replica_connections_;
--- a/src/policy/table_publisher.cpp
+++ b/src/policy/table_publisher.cpp
@@ -7,12 +7,12 @@
 namespace ospreypost::policy {
 namespace {
 
-/// Relative change of an entry below which it is not sent.
+/// Minimum relative change of an entry's weight that is sent while the channel is empty.
 constexpr double kMinRelativeChange = 0.08;
-/// The fuller the channel the more a change must matter, up to this part of its plain limit left.
+/// Fraction of the channel's non-urgent limit below which the minimum relative change stops growing.
+/// The minimum relative change grows as the channel fills, in inverse proportion to the fraction left.
 constexpr double kMinChannelLeft = 0.2;
-/// Messages of the window that are kept for a proxy that joins or migrates between two messages to its
-/// subset.
+/// Messages per window that are reserved for a proxy that joins or migrates between two messages to a subset.
 constexpr double kReservedMessages = 3;
 
 Nanos min_message_gap(const Settings& settings) {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-/// What one publication works with.
+/// The inputs and the message batch of one publication.
 struct TablePublisher::Publication {
   const WantedState& wanted;
   ReplicaMap& replicas;
@@ -44,11 +44,11 @@
 TablePublisher::TablePublisher(const Settings& settings, ControlChannel& channel, ActionSink& actions)
     : channel_(channel),
       actions_(actions),
-      stated_overhead_(settings.message_overhead_entries),
+      configured_overhead_(settings.message_overhead_entries),
       min_message_gap_(min_message_gap(settings)),
       publish_interval_(std::max<Nanos>(settings.report_interval, 3 * min_message_gap_ / 2)),
       admitted_fractions_(settings.classes.size(), 1.0),
-      message_overhead_(stated_overhead_ + 1) {}  // with its acknowledgement request
+      message_overhead_(configured_overhead_ + 1) {}  // 1 entry for the acknowledgement request
 
 void TablePublisher::set_table_count(std::size_t subsets, std::size_t groups) {
   if (!tables_.empty()) return;
@@ -60,13 +60,13 @@
   return TableId{static_cast<std::uint16_t>(subset * tables_[subset].size() + group)};
 }
 
-std::vector<std::size_t> TablePublisher::holders_of(ReplicaId id) const {
-  std::vector<std::size_t> holders;
+std::vector<std::size_t> TablePublisher::subsets_holding(ReplicaId id) const {
+  std::vector<std::size_t> holding_subsets;
   for (std::size_t subset = 0; subset < tables_.size(); ++subset) {
     const auto holds = [id](const TableEntries& table) { return table.contains(id); };
-    if (std::any_of(tables_[subset].begin(), tables_[subset].end(), holds)) holders.push_back(subset);
+    if (std::any_of(tables_[subset].begin(), tables_[subset].end(), holds)) holding_subsets.push_back(subset);
   }
-  return holders;
+  return holding_subsets;
 }
 
 void TablePublisher::publish(const WantedState& wanted, ReplicaMap& replicas, const SlowStart& slow_start,
@@ -93,16 +93,17 @@
 }
 
 void TablePublisher::eject_one(Publication& publication, ReplicaId id, Replica& replica) {
-  const auto holders = holders_of(id);
-  replica.ejected = publication.batch.try_reserve(holders, 1, MessageBatch::Unassigned::included);
+  const auto holding_subsets = subsets_holding(id);
+  replica.ejected = publication.batch.try_reserve(holding_subsets, 1, MessageBatch::Unassigned::included);
   if (!replica.ejected) {
-    for (const auto subset : holders) publication.batch.hold_back(subset);
+    for (const auto subset : holding_subsets) publication.batch.hold_back(subset);
     is_urgent_ = true;
     return;
   }
-  // What drains or is gone for good leaves the tables in one go, and so never costs a second entry.
+  // A replica that is draining or gone leaves its tables together with the ejection, so that its removal
+  // never costs a second entry.
   if (!replica.is_ready()) {
-    for (const auto subset : holders) {
+    for (const auto subset : holding_subsets) {
       for (std::size_t group = 0; group < tables_[subset].size(); ++group) {
         if (tables_[subset][group].erase(id) > 0) actions_.set_table_entry(table_id(subset, group), id, 0);
       }
@@ -132,14 +133,16 @@
                                    wanted.retry_mode);
   }
   retry_mode_ = wanted.retry_mode;
-  // Every later message carries them.
-  message_overhead_ = stated_overhead_ + 1 + static_cast<double>(admitted_fractions_.size());
+  // From now on the overhead of every message includes one entry for each class's admitted fraction.
+  message_overhead_ = configured_overhead_ + 1 + static_cast<double>(admitted_fractions_.size());
   publication.batch.set_message_overhead(message_overhead_);
 }
 
 std::set<ReplicaId> TablePublisher::send_tables(Publication& publication) {
-  // Only what keeps a proxy from being without endpoints may use the part of the channel for urgent entries.
-  const double urgent_capacity = (kUrgentQueueFraction - kPlainQueueFraction) * channel_.max_queued_entries();
+  // Table changes may fill the channel up to the non-urgent limit only. The part beyond is reserved for
+  // urgent entries, such as those of a subset without endpoints.
+  const double urgent_capacity =
+      (kUrgentQueueFraction - kNonUrgentQueueFraction) * channel_.max_queued_entries();
   publication.batch.change_capacity(-urgent_capacity);
   std::set<ReplicaId> unsent;
   for (const auto& subset_changes : find_changes(publication)) {
@@ -154,8 +157,8 @@
 }
 
 std::vector<TablePublisher::SubsetChanges> TablePublisher::find_changes(const Publication& publication) {
-  const double plain_limit = kPlainQueueFraction * channel_.max_queued_entries();
-  const double channel_left = 1 - channel_.queued_entries(publication.now) / plain_limit;
+  const double non_urgent_limit = kNonUrgentQueueFraction * channel_.max_queued_entries();
+  const double channel_left = 1 - channel_.queued_entries(publication.now) / non_urgent_limit;
   const double min_change = kMinRelativeChange / std::max(kMinChannelLeft, channel_left);
   std::vector<SubsetChanges> all;
   for (std::size_t subset = 0; subset < tables_.size(); ++subset) {
@@ -164,7 +167,7 @@
     for (const auto& change : found.changes) found.total_difference += change.difference;
     all.push_back(std::move(found));
   }
-  // First those without endpoints, then those that are furthest off.
+  // Subsets without endpoints come first, then those whose tables differ most from the wanted ones.
   std::stable_sort(all.begin(), all.end(), [](const SubsetChanges& left, const SubsetChanges& right) {
     if (left.has_endpoints != right.has_endpoints) return right.has_endpoints;
     return left.total_difference > right.total_difference;
@@ -172,12 +175,12 @@
   return all;
 }
 
-/// Returns how many of the changes were sent, from the first on.
+/// Sends as many of the subset's changes as fit, in order, and returns their number.
 std::size_t TablePublisher::send_changes(Publication& publication, const SubsetChanges& subset_changes,
                                          double urgent_capacity) {
   auto& batch = publication.batch;
   const auto& [subset, has_endpoints, total_difference, changes] = subset_changes;
-  // Nothing may keep an entry from proxies that have none.
+  // Proxies without endpoints get entries even if their subset is held back or the channel is nearly full.
   if (!has_endpoints) {
     batch.release(subset);
     batch.change_capacity(urgent_capacity);
@@ -213,13 +216,13 @@
   });
 }
 
-/// How a subset's tables differ from those wanted, the furthest off first.
+/// Returns the differences between a subset's published and wanted tables, the largest first.
 std::vector<TablePublisher::Change> TablePublisher::changes_of(const Publication& publication,
                                                                std::size_t subset, double min_change) const {
   std::vector<Change> changes;
   for (std::size_t group = 0; group < tables_[subset].size(); ++group) {
     const auto& wanted = publication.wanted.tables.at(subset, group);
-    // An empty table would leave its proxies without endpoints.
+    // An empty table is not published, since it would leave the subset's proxies without endpoints.
     if (wanted.empty()) continue;
     const auto& published = tables_[subset][group];
     const double weights = total_weight(wanted);
@@ -228,12 +231,12 @@
       const bool is_new = entry == published.end();
       const double published_weight = is_new ? 0 : entry->second;
       const double difference = std::abs(weight - published_weight);
-      // An entry that comes or falls by half, as of what restarted, goes before any other.
-      const bool goes_first = is_new || weight < published_weight / 2;
-      if (!goes_first && difference <= min_change * published_weight) continue;
-      changes.push_back({difference / weights + (goes_first ? 1 : 0), group, id, weight});
+      // New entries and entries whose weight falls by more than half, as after a restart, are sent first.
+      const bool is_prioritized = is_new || weight < published_weight / 2;
+      if (!is_prioritized && difference <= min_change * published_weight) continue;
+      changes.push_back({difference / weights + (is_prioritized ? 1 : 0), group, id, weight});
     }
-    add_missing(publication, subset, group, changes);
+    add_removals(publication, subset, group, changes);
   }
   std::stable_sort(changes.begin(), changes.end(), [](const Change& left, const Change& right) {
     return left.difference > right.difference;
@@ -241,13 +244,13 @@
   return changes;
 }
 
-/// Adds the removal of what is published but no longer wanted.
-void TablePublisher::add_missing(const Publication& publication, std::size_t subset, std::size_t group,
-                                 std::vector<Change>& changes) const {
+/// Adds the removal of published entries that are no longer wanted.
+void TablePublisher::add_removals(const Publication& publication, std::size_t subset, std::size_t group,
+                                  std::vector<Change>& changes) const {
   const auto& wanted = publication.wanted.tables.at(subset, group);
   for (const auto& [id, weight] : tables_[subset][group]) {
     const auto& replica = publication.replicas.at(id);
-    // An ejected replica may keep its entry for its return, unless it is gone for good.
+    // A ready replica that is ejected as an outlier keeps its entry, which is used again on its return.
     const bool will_return = replica.breaker.is_open() && replica.is_ready();
     if (!wanted.contains(id) && !will_return) changes.push_back({0, group, id, 0});
   }
@@ -255,9 +258,9 @@
 
 void TablePublisher::readmit(Publication& publication, const std::set<ReplicaId>& unsent) {
   for (auto& [id, replica] : publication.replicas) {
-    // The entry that it had before its ejection must not be used again.
+    // A replica returns only after its new entry was sent, since the weight that proxies have is outdated.
     if (!replica.ejected || !publication.may_serve(replica) || unsent.contains(id)) continue;
-    if (!publication.batch.try_reserve(holders_of(id), 1, MessageBatch::Unassigned::included)) continue;
+    if (!publication.batch.try_reserve(subsets_holding(id), 1, MessageBatch::Unassigned::included)) continue;
     actions_.set_ejected(id, false);
     replica.ejected = false;
   }
--- a/src/policy/table_publisher.h
+++ b/src/policy/table_publisher.h
@@ -1,4 +1,4 @@
-/// The tables, ejections and admitted fractions as published, and what is sent first when not all fits.
+/// Publishes tables, ejections and admitted fractions to proxies, the most urgent first.
 #pragma once
 
 #include <cstddef>
@@ -17,10 +17,10 @@
 
 namespace ospreypost::policy {
 
-/// What should stand at the proxies.
+/// The state that proxies should have.
 struct WantedState {
   TableSet tables;
-  Values admitted_fractions;  ///< by class
+  Values admitted_fractions;  ///< admitted fraction of each class
   RetryMode retry_mode = RetryMode::after_rejection_proof;
 };
 
@@ -28,39 +28,41 @@
  public:
   TablePublisher(const Settings& settings, ControlChannel& channel, ActionSink& actions);
 
-  /// To be called once the subsets are laid out.
+  /// Sets the number of tables, once the subsets are laid out. Later calls have no effect.
   void set_table_count(std::size_t subsets, std::size_t groups);
-  /// Something was noticed that must not wait for its turn.
-  void hurry() { is_urgent_ = true; }
+  /// Makes the next publication due at once instead of after the publish interval.
+  void request_urgent_publication() { is_urgent_ = true; }
   bool is_urgent() const { return is_urgent_; }
   bool is_due(Nanos now) const { return is_urgent_ || now >= next_publication_; }
 
-  /// Sends what differs from what stands, as much as fits, in the order of what it protects: ejections,
-  /// admitted fractions, the tables that are furthest off, and last what may return. The rest waits.
+  /// Sends the differences between the wanted and the published state, as far as they fit into the channel.
+  /// The order is: ejections, admitted fractions, table changes (the tables that differ most first), and
+  /// returns of ejected replicas. Differences that do not fit are left to a later publication.
   void publish(const WantedState& wanted, ReplicaMap& replicas, const SlowStart& slow_start,
                const SubsetAssignment& assignment, Nanos now);
 
-  /// Gives a proxy all tables of a subset at once, if they fit within that fraction of the channel's limit.
-  /// False if not.
+  /// Binds a proxy to all tables of a subset at once.
+  /// Returns false without effect if any of these tables is empty, or if the entries would fill the channel's
+  /// queue beyond `queue_fraction` of its maximum.
   bool bind(ProxyId proxy, std::size_t subset, const std::vector<RoutingGroup>& groups,
             const ReplicaMap& replicas, double queue_fraction, Nanos now);
-  /// The subsets in whose tables the replica stands.
-  std::vector<std::size_t> holders_of(ReplicaId id) const;
-  /// Entries that each message costs beyond its own.
+  /// Returns the subsets with an entry of the replica in any of their published tables.
+  std::vector<std::size_t> subsets_holding(ReplicaId id) const;
+  /// Returns the fixed cost of a message, in entries, beyond the entries it carries.
   double message_overhead() const { return message_overhead_; }
 
  private:
-  /// One entry that differs from what is wanted.
+  /// A published table entry that differs from the wanted one.
   struct Change {
-    double difference = 0;  // of the weights, against all of the table's; plus 1 for what goes first
+    double difference = 0;  // difference of weights relative to the table's total; plus 1 if sent first
     std::size_t group = 0;
     ReplicaId replica{};
-    double weight = 0;
+    double weight = 0;  // the wanted weight; 0 removes the entry
   };
-  /// The changes of one subset.
+  /// The changes to all tables of one subset.
   struct SubsetChanges {
     std::size_t subset = 0;
-    bool has_endpoints = true;  // in each of its tables
+    bool has_endpoints = true;  // whether each published table of the subset has a replica that may be picked
     double total_difference = 0;
     std::vector<Change> changes;
   };
@@ -75,22 +77,22 @@
   void readmit(Publication& publication, const std::set<ReplicaId>& unsent);
   std::vector<SubsetChanges> find_changes(const Publication& publication);
   std::vector<Change> changes_of(const Publication& publication, std::size_t subset, double min_change) const;
-  void add_missing(const Publication& publication, std::size_t subset, std::size_t group,
-                   std::vector<Change>& changes) const;
+  void add_removals(const Publication& publication, std::size_t subset, std::size_t group,
+                    std::vector<Change>& changes) const;
   bool has_endpoints(const Publication& publication, std::size_t subset) const;
   std::optional<double> cost_of_binding(std::size_t subset, const ReplicaMap& replicas) const;
   TableId table_id(std::size_t subset, std::size_t group) const;
 
   ControlChannel& channel_;
   ActionSink& actions_;
-  const double stated_overhead_;
-  const Nanos min_message_gap_;  // to one proxy, so that no window ever holds too many
+  const double configured_overhead_;
+  const Nanos min_message_gap_;  // minimum time between two messages to one proxy
   const Nanos publish_interval_;
 
-  std::vector<std::vector<TableEntries>> tables_;            // as published, by subset and routing group
-  std::vector<Nanos> last_messages_;                         // by subset
-  Values admitted_fractions_;                                // as published, by class
-  RetryMode retry_mode_ = RetryMode::after_rejection_proof;  // as published
+  std::vector<std::vector<TableEntries>> tables_;            // published tables, by subset and routing group
+  std::vector<Nanos> last_messages_;                         // time of the last message, by subset
+  Values admitted_fractions_;                                // published admitted fractions, by class
+  RetryMode retry_mode_ = RetryMode::after_rejection_proof;  // published retry mode
   double message_overhead_;
   Nanos next_publication_{};
   bool is_urgent_ = false;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -1,4 +1,4 @@
-/// Identifiers and enumerations that the decision module shares with everything that talks to it.
+/// Identifiers and enumerations that the decision module shares with the code that calls it.
 #pragma once
 
 #include <chrono>
@@ -6,7 +6,7 @@
 
 namespace ospreypost {
 
-/// Every time and duration; times count from an arbitrary moment of a monotonic clock.
+/// The type of all times and durations. Times count from an arbitrary moment of a monotonic clock.
 using Nanos = std::chrono::nanoseconds;
 
 enum class ReplicaId : std::uint32_t {};
@@ -19,32 +19,32 @@
 enum class ClassId : std::uint16_t {};
 enum class PeerId : std::uint16_t {};
 enum class TimerId : std::uint64_t {};
-/// Names one request for an acknowledgement; see `ActionSink::request_acknowledgement`.
+/// Identifies one acknowledgement request; see `ActionSink::request_acknowledgement`.
 enum class AckRequestId : std::uint64_t {};
-/// A routing table. With slices, a slice's number is the number of its table.
+/// Identifies a routing table. In deployments with slices, the table of a slice has the slice's number.
 enum class TableId : std::uint16_t {};
-/// Stands for all tables at once.
+/// Table id that stands for all tables at once.
 inline constexpr TableId kAllTables{65535};
 
-/// A set of request classes: the sum of 2^k over their positions. 0 names all.
+/// A set of request classes, as the sum of 2^k over the positions k of its classes. 0 stands for all classes.
 using ClassMask = std::uint16_t;
 
-/// When a proxy may retry a failed attempt. The values are those of stored records.
+/// When a proxy may retry a failed attempt. Records store these numbers, so they must not change.
 enum class RetryMode : std::uint8_t {
   none = 0,
-  after_rejection_proof = 1,  ///< only if the attempt provably had no effect
+  after_rejection_proof = 1,  ///< only if it is proven that the attempt had no effect
   once = 2,
   twice = 3,
 };
 
-/// The state of a replica as the endpoint list gives it.
+/// The state of a replica according to the endpoint list.
 enum class EndpointPhase { draining, ready, gone };
 
-/// What an endpoint list says about the replicas that it does not name.
+/// What an endpoint list means for the replicas that it does not contain.
 enum class EndpointListKind {
-  changes,   ///< nothing: it names only what changed
-  complete,  ///< that they are gone
-  cached,    ///< that they are gone; known since before the start
+  changes,   ///< the list contains only changed replicas; all others stay as they are
+  complete,  ///< the list contains all replicas; all others are gone
+  cached,    ///< a complete list that was stored before this instance started
 };
 
 }  // namespace ospreypost
--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -17,7 +17,7 @@
   return fleet;
 }
 
-/// Class 1 has more priority for its work.
+/// Returns two classes with equal demand, of which class 1 has more priority per unit of work.
 RequestClasses classes_with_equal_demand() {
   Settings settings = small_settings();
   settings.classes[1].priority_weight = 5;
@@ -33,11 +33,11 @@
   EXPECT_EQ(admission.admitted_fractions(classes_with_equal_demand(), 0s), (Values{1, 1}));
 }
 
-TEST(AdmissionControllerTest, ShedsTheClassWithTheLeastPriorityFirst) {
+TEST(AdmissionControllerTest, ShedsTheClassWithTheLowestPriorityFirst) {
   AdmissionController admission(small_settings());
   admission.update(fleet_with(2.0));
   const auto fractions = admission.admitted_fractions(classes_with_equal_demand(), 0s);
-  // 0.7 of the work of both: all of class 1, and 0.4 of class 0.
+  // 0.7 of the total work is admitted: all of class 1, and 0.4 of class 0.
   EXPECT_NEAR(fractions[0], 0.4, 1e-9);
   EXPECT_EQ(fractions[1], 1);
 }
@@ -47,15 +47,15 @@
   for (int updates = 0; updates < 20; ++updates) admission.update(fleet_with(5.0));
   const auto fractions = admission.admitted_fractions(classes_with_equal_demand(), 0s);
   EXPECT_DOUBLE_EQ(fractions[0], 0.1);
-  EXPECT_NEAR(fractions[1], 0.5, 1e-9) << "a quarter of the work of both";
+  EXPECT_NEAR(fractions[1], 0.5, 1e-9) << "a quarter of the total work is admitted";
 }
 
-TEST(AdmissionControllerTest, GrowsSlowlyOnceThereIsCapacity) {
+TEST(AdmissionControllerTest, AdmittedWorkRisesSlowlyOnceThereIsCapacity) {
   AdmissionController admission(small_settings());
   for (int updates = 0; updates < 20; ++updates) admission.update(fleet_with(5.0));
   admission.update(fleet_with(0.9));
   const auto fractions = admission.admitted_fractions(classes_with_equal_demand(), 0s);
-  EXPECT_NEAR(fractions[1], 0.6, 1e-9) << "0.05 more of the work";
+  EXPECT_NEAR(fractions[1], 0.6, 1e-9) << "0.05 more of the total work is admitted";
   for (int updates = 0; updates < 20; ++updates) admission.update(fleet_with(0.5));
   EXPECT_EQ(admission.admitted_fractions(classes_with_equal_demand(), 0s), (Values{1, 1}));
 }
@@ -68,7 +68,7 @@
   EXPECT_EQ(admission.admitted_fractions(classes_with_equal_demand(), 0s), (Values{1, 1}));
 }
 
-TEST(AdmissionControllerTest, NothingIsRetriedWhileAZoneIsCongested) {
+TEST(AdmissionControllerTest, RetriesAreDisabledWhileAnyZoneIsCongested) {
   AdmissionController admission(small_settings());
   EXPECT_EQ(admission.retry_mode(), RetryMode::after_rejection_proof);
   admission.update(fleet_with(0.5, 1.7));
--- a/tests/policy/circuit_breaker_test.cpp
+++ b/tests/policy/circuit_breaker_test.cpp
@@ -19,7 +19,7 @@
   EXPECT_TRUE(breaker.is_open());
   EXPECT_FALSE(breaker.cooldown_is_over(100s + kCooldown - 1ns));
   EXPECT_TRUE(breaker.cooldown_is_over(100s + kCooldown));
-  EXPECT_EQ(breaker.reopens_at(), 100s + kCooldown);
+  EXPECT_EQ(breaker.cooldown_ends_at(), 100s + kCooldown);
 }
 
 TEST(CircuitBreakerTest, DoublesCooldownWhenTrippedWhileHalfOpen) {
@@ -28,7 +28,7 @@
   Nanos expected = kCooldown;
   for (int trips = 0; trips < 6; ++trips) {
     EXPECT_EQ(breaker.trip(now), expected);
-    now = breaker.reopens_at();
+    now = breaker.cooldown_ends_at();
     breaker.half_open(now);
     expected = std::min(2 * expected, kMaxCooldown);
   }
@@ -74,7 +74,7 @@
   breaker.confirm(103s, kMinSoundSuccesses + 5);
   EXPECT_EQ(breaker.anchored_at(), 102s);
   breaker.half_open(110s);
-  EXPECT_FALSE(breaker.anchored_at()) << "a new return begins anew";
+  EXPECT_FALSE(breaker.anchored_at()) << "a new return restarts the climb";
 }
 
 }  // namespace
--- a/tests/policy/control_channel_test.cpp
+++ b/tests/policy/control_channel_test.cpp
@@ -27,14 +27,14 @@
   RecordingSink sink;
 };
 
-TEST_F(ControlChannelTest, BeforeAnyAcknowledgementItDrainsAtHalfItsPace) {
+TEST_F(ControlChannelTest, BeforeAnyAcknowledgementTheEstimateFallsAtHalfTheConfiguredRate) {
   channel.add(1000, 10);
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
   EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 500);
   EXPECT_DOUBLE_EQ(channel.queued_entries(110s), 0);
 }
 
-TEST_F(ControlChannelTest, AnAcknowledgementShowsThatAllBeforeItLeft) {
+TEST_F(ControlChannelTest, AnAcknowledgementConfirmsAllEarlierEntries) {
   channel.add(1000, 1);
   channel.request_acknowledgement(100s, sink);
   ASSERT_EQ(sink.requests.size(), 1U);
@@ -42,14 +42,14 @@
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
 }
 
-TEST_F(ControlChannelTest, EachOfTheMessagesConfirmsItsPart) {
+TEST_F(ControlChannelTest, EachAcknowledgementConfirmsItsPartOfTheEntries) {
   channel.add(1000, 4);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 750);
 }
 
-TEST_F(ControlChannelTest, OnceAcknowledgementsComeWhatIsUnconfirmedLeavesSlowly) {
+TEST_F(ControlChannelTest, AfterAnAcknowledgementUnconfirmedEntriesLeaveSlowly) {
   channel.add(100, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
@@ -57,7 +57,7 @@
   EXPECT_DOUBLE_EQ(channel.queued_entries(101s), 950);
 }
 
-TEST_F(ControlChannelTest, RequestsAcknowledgementsOnlyWhenEnoughMayWait) {
+TEST_F(ControlChannelTest, RequestsAcknowledgementsOnlyWhenManyEntriesMayBeQueued) {
   channel.add(100, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, sink.requests.at(0));
@@ -69,27 +69,27 @@
   channel.request_acknowledgement(later, sink);
   EXPECT_EQ(sink.requests.size(), 2U);
   channel.request_acknowledgement(later + 1ms, sink);
-  EXPECT_EQ(sink.requests.size(), 2U) << "nothing was sent since";
+  EXPECT_EQ(sink.requests.size(), 2U) << "nothing was sent since the last request";
 }
 
-TEST_F(ControlChannelTest, CallsOfOneMomentShareARequest) {
+TEST_F(ControlChannelTest, CallsAtTheSameTimeShareARequest) {
   channel.add(600, 1);
   channel.request_acknowledgement(100s, sink);
   channel.add(600, 1);
   channel.request_acknowledgement(100s, sink);
   ASSERT_EQ(sink.requests.size(), 1U);
   channel.on_acknowledged(100s, sink.requests[0]);
-  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 600) << "one answer of two";
+  EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 600) << "one of two acknowledgements arrived";
 }
 
-TEST_F(ControlChannelTest, AnUnknownOrOlderRequestConfirmsNothing) {
+TEST_F(ControlChannelTest, AnUnknownRequestConfirmsNothing) {
   channel.add(1000, 1);
   channel.request_acknowledgement(100s, sink);
   channel.on_acknowledged(100s, AckRequestId{77});
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 1000);
 }
 
-TEST_F(ControlChannelTest, WithItsLastProxyAllThatWaitsIsLost) {
+TEST_F(ControlChannelTest, QueuedEntriesAreLostWithTheLastProxy) {
   channel.add(1000, 1);
   channel.on_all_proxies_left();
   EXPECT_DOUBLE_EQ(channel.queued_entries(100s), 0);
--- a/tests/policy/controller_fixture.h
+++ b/tests/policy/controller_fixture.h
@@ -1,5 +1,5 @@
-/// What the tests of the whole controller share: small settings, proxies that hold what they are sent, and a
-/// clock.
+/// Shared fixtures for tests of the whole controller: small settings, fake proxies that apply the actions
+/// they receive, and a clock.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-/// Two classes, three zones, and limits like those of a small deployment.
+/// Returns settings of a small deployment with two request classes and three zones.
 inline Settings small_settings() {
   Settings settings;
   ClassSettings read;
@@ -49,7 +49,7 @@
   return settings;
 }
 
-/// An entry of an endpoint list.
+/// Returns an entry of an endpoint list.
 inline EndpointUpdate entry(std::uint32_t id, std::uint16_t zone = 0,
                             EndpointPhase phase = EndpointPhase::ready) {
   EndpointUpdate update;
@@ -59,7 +59,7 @@
   return update;
 }
 
-/// One request class at one proxy.
+/// A request class at a proxy, the key of a binding.
 struct ProxyClass {
   ProxyId proxy{};
   unsigned cls = 0;
@@ -68,7 +68,7 @@
   }
 };
 
-/// Holds what the proxies would hold.
+/// Applies the controller's actions to the state that the proxies would have.
 class FakeProxies : public ActionHandler {
  public:
   using ActionHandler::handle;
@@ -112,10 +112,10 @@
 
   struct AdmittedFraction {
     ClassMask classes;
-    double level;
+    double fraction;
     RetryMode retry;
   };
-  /// The share of class 0's requests that a proxy would send to a replica.
+  /// Returns the fraction of class 0's requests that a proxy would send to a replica.
   double request_share(ProxyId proxy, ReplicaId replica) const {
     const auto binding = bound_tables.find({proxy, 0});
     if (binding == bound_tables.end() || !tables.contains(binding->second)) return 0;
@@ -138,28 +138,29 @@
   std::vector<AdmittedFraction> admitted_fractions;
   std::vector<ReplicaId> health_checks;
   std::vector<std::string> log_lines;
-  std::vector<Nanos> message_times;  // when actions went to all
+  std::vector<Nanos> message_times;  // times of the calls that sent table, ejection or admission actions
   int watch_requests = 0;
-  int repeated_entries = 0;  // entries that changed nothing
-  bool has_actions = false;
+  int repeated_entries = 0;  // entries sent with the weight that the table had already
+  bool has_actions = false;  // whether the current call sent table, ejection or admission actions
 };
 
-/// Lets a span pass, with every timer that falls into it; `after` each one.
+/// Advances the clock by a span and fires the timers that are due in it. Calls `after_each` after each timer.
 template <typename After>
-void advance_clock(FakeProxies& proxies, Controller& controller, Nanos span, After after) {
+void advance_clock(FakeProxies& proxies, Controller& controller, Nanos span, After after_each) {
   const auto until = proxies.now + span;
   while (!proxies.timers.empty() && proxies.timers.begin()->first <= until) {
     const auto [due, timer] = *proxies.timers.begin();
     proxies.timers.erase(proxies.timers.begin());
     proxies.now = std::max(proxies.now, due);
     controller.on_timer(proxies.now, timer);
-    after();
+    after_each();
   }
   proxies.now = until;
 }
 
-/// Turns the actions of one call into a message for each proxy that they concern, and lets the messages leave
-/// one after the other, at a pace of its own. Proxies acknowledge as their messages leave.
+/// Fake proxies behind a slow channel. The actions of one call become one message for each proxy concerned.
+/// The messages leave the channel one after the other at a given rate, and each proxy acknowledges its
+/// messages as they leave.
 class PacedFakeProxies : public FakeProxies {
  public:
   PacedFakeProxies(double message_overhead, double entries_per_second)
@@ -187,7 +188,8 @@
   }
   void handle(const RequestAcknowledgement& action) override { requests_.push_back(action.request); }
 
-  /// To be called after each call on the controller.
+  /// Queues the messages of one call on the controller. Tests must call this after each call on the
+  /// controller.
   void send_messages() {
     for (const auto& [proxy, entries] : pending_entries_) {
       queue_.push_back(
@@ -198,14 +200,14 @@
     requests_.clear();
     max_queued_entries = std::max(max_queued_entries, queued_entries);
   }
-  void pass(Controller& controller, Nanos span) {
+  void advance(Controller& controller, Nanos span) {
     for (const auto until = now + span; now < until;) {
       advance_clock(*this, controller, kStep, [this] { send_messages(); });
-      can_send_ = queue_.empty() ? 0 : can_send_ + entries_per_step_;
-      while (!queue_.empty() && can_send_ >= queue_.front().entries) {
+      sendable_entries_ = queue_.empty() ? 0 : sendable_entries_ + entries_per_step_;
+      while (!queue_.empty() && sendable_entries_ >= queue_.front().entries) {
         const auto message = queue_.front();
         queue_.pop_front();
-        can_send_ -= message.entries;
+        sendable_entries_ -= message.entries;
         queued_entries -= message.entries;
         for (const auto request : message.requests) {
           if (acknowledges) controller.on_acknowledged(now, message.proxy, request, 1ms);
@@ -217,7 +219,7 @@
 
   bool acknowledges = true;
   double queued_entries = 0;
-  double max_queued_entries = 0;  // ever
+  double max_queued_entries = 0;  // maximum of queued_entries since the start
 
  private:
   struct Message {
@@ -230,12 +232,12 @@
   const double message_overhead_;
   const double entries_per_step_;
   std::deque<Message> queue_;
-  double can_send_ = 0;
+  double sendable_entries_ = 0;
   std::map<ProxyId, double> pending_entries_;
   std::vector<AckRequestId> requests_;
 };
 
-/// A controller with three proxies, one in each zone, and the time in hand.
+/// A controller with three proxies, one in each zone, and a clock that the test advances.
 struct ControllerFixture {
   explicit ControllerFixture(const Settings& settings = small_settings(), std::uint32_t replicas = 9)
       : controller(settings, 7, proxies.now, proxies) {
@@ -247,34 +249,34 @@
     for (std::uint16_t id = 0; id < 3; ++id) {
       controller.on_proxy_joined(proxies.now, ProxyId{id}, ZoneId{id}, 20, true);
     }
-    note_message();
+    record_message_time();
   }
-  void note_message() {
+  void record_message_time() {
     if (proxies.has_actions) proxies.message_times.push_back(proxies.now);
     proxies.has_actions = false;
   }
   void update_endpoint(const EndpointUpdate& update) {
     controller.on_endpoint_list(proxies.now, EndpointListKind::changes, {update});
-    note_message();
+    record_message_time();
   }
-  /// The replica is gone and at once back, warming up.
+  /// Removes a replica from the list and adds it again at once, as just started.
   void restart(std::uint32_t id, std::uint16_t zone) {
     update_endpoint(entry(id, zone, EndpointPhase::gone));
     auto restarted = entry(id, zone);
     restarted.started = proxies.now;
     update_endpoint(restarted);
   }
-  /// A replica restarts, and then most attempts fail everywhere.
+  /// Restarts a replica, and then lets 8 of 10 attempts fail at all replicas for three seconds.
   void restart_during_congestion(std::uint32_t id, std::uint16_t zone) {
     for (int second = 0; second < 3; ++second) run_second();
     restart(id, zone);
     for (int second = 0; second < 3; ++second) run_second({}, 8);
   }
-  /// Lets a second pass, then reports what the proxies saw of each replica: `failed` attempts at some of
-  /// them.
+  /// Advances the clock by `span`, and then sends a load report of each replica that is not ejected.
+  /// `failed` gives the failed attempts by replica, `failed_everywhere` those of all other replicas.
   void run_second(const std::map<std::uint32_t, unsigned>& failed = {}, unsigned failed_everywhere = 0,
                   unsigned attempts = 10, float utilization = 0.5F, Nanos span = 1s) {
-    pass(span);
+    advance(span);
     for (std::uint32_t id = 0; id < 9; ++id) {
       if (proxies.ejected.contains(ReplicaId{id})) continue;
       ReplicaLoadReport report;
@@ -285,13 +287,14 @@
       report.span = span;
       report.load = {utilization};
       controller.on_replica_load_report(proxies.now, report);
-      note_message();
+      record_message_time();
     }
   }
-  void pass(Nanos span) {
-    advance_clock(proxies, controller, span, [this] { note_message(); });
+  void advance(Nanos span) {
+    advance_clock(proxies, controller, span, [this] { record_message_time(); });
   }
-  /// Seconds until the replica is ejected (true) or back (false); -1 if it is not within the limit.
+  /// Runs until the replica is ejected (`is_ejected` true) or back (false). Returns the number of seconds
+  /// run, or -1 if the limit is reached first.
   int seconds_until_state(std::uint32_t id, bool is_ejected, const std::map<std::uint32_t, unsigned>& failed,
                           int limit) {
     for (int second = 0; second < limit; ++second) {
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/controller_invariants_test.cpp
@@ -1,4 +1,6 @@
-/// The five rules in their plainest form, checked against the controller on generated input.
+/// Simple forms of the five invariants, checked against the controller on generated input: draining replicas
+/// are ejected in time, proxies have endpoints, requests go to allowed endpoints only, requests that are not
+/// idempotent are not repeated, and messages stay within their limit.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,9 +13,9 @@
 constexpr std::uint32_t kReplicas = 9;
 constexpr int kSteps = 60;
 
-class RulesTest : public ::testing::TestWithParam<unsigned> {
+class ControllerInvariantsTest : public ::testing::TestWithParam<unsigned> {
  protected:
-  RulesTest() : random_(GetParam()) {
+  ControllerInvariantsTest() : random_(GetParam()) {
     if (draw(2) != 0) settings_.classes[1].allowed_zones = {ZoneId{0}, ZoneId{2}};
     fixture_.emplace(settings_, kReplicas);
     for (std::uint32_t id = 0; id < kReplicas; ++id) listed_[id] = EndpointPhase::ready;
@@ -27,7 +29,7 @@
     fixture_->run_second(failed, 0, 1 + draw(12));
   }
 
-  /// A replica drains, goes or comes back; four at least stay ready.
+  /// Makes a random replica drain, leave or return. At least four other replicas stay ready.
   void change_endpoint() {
     const auto id = draw(kReplicas);
     const auto phase = static_cast<EndpointPhase>(draw(3));
@@ -52,7 +54,7 @@
     fixture_->controller.on_proxy_joined(now(), proxy, zone, 20, false);
   }
 
-  void expect_drains_kept() const {
+  void expect_draining_replicas_ejected() const {
     const Nanos allowed = settings_.drain_grace - settings_.message_delay;
     for (const auto& [id, phase] : listed_) {
       if (phase == EndpointPhase::ready || now() - notified_.at(id) <= allowed) continue;
@@ -60,7 +62,8 @@
     }
   }
 
-  /// No proxy is without endpoints while any is ready, and none is sent where its class may not go.
+  /// Checks that a proxy has an endpoint for a class while any allowed replica is ready, and that the class's
+  /// table contains no replica that the class may not use.
   void expect_endpoints(const ProxyClass& bound, TableId table) const {
     bool any_is_ready = false;
     bool is_served = false;
@@ -76,15 +79,15 @@
     EXPECT_TRUE(is_served || !any_is_ready) << "without endpoints";
   }
 
-  /// Class 1 is not idempotent.
-  void expect_no_effect_twice() const {
+  /// Checks that attempts of class 1, which is not idempotent, are retried only after proof of rejection.
+  void expect_no_unsafe_retries() const {
     for (const auto& action : proxies().admitted_fractions) {
       const bool concerns_class_1 = action.classes == 0 || (action.classes & 2U) != 0;
       EXPECT_FALSE(concerns_class_1 && action.retry > RetryMode::after_rejection_proof);
     }
   }
 
-  void expect_few_messages() const {
+  void expect_messages_within_limit() const {
     EXPECT_EQ(proxies().repeated_entries, 0);
     const auto& times = proxies().message_times;
     const auto recent = std::count_if(times.begin(), times.end(),
@@ -106,23 +109,23 @@
   Settings settings_ = small_settings();
   std::optional<ControllerFixture> fixture_;
   std::map<std::uint32_t, EndpointPhase> listed_;
-  std::map<std::uint32_t, Nanos> notified_;  // that a replica is no longer ready
+  std::map<std::uint32_t, Nanos> notified_;  // time of the list in which a replica was no longer ready
 };
 
-TEST_P(RulesTest, HoldOnGeneratedInput) {
+TEST_P(ControllerInvariantsTest, HoldOnGeneratedInput) {
   for (int step = 0; step < kSteps; ++step) {
     SCOPED_TRACE(step);
     run_second();
     if (draw(3) == 0) change_endpoint();
     if (draw(8) == 0) reconnect_proxy();
-    expect_drains_kept();
+    expect_draining_replicas_ejected();
     for (const auto& [bound, table] : proxies().bound_tables) expect_endpoints(bound, table);
-    expect_no_effect_twice();
-    expect_few_messages();
+    expect_no_unsafe_retries();
+    expect_messages_within_limit();
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RulesTest, ::testing::Range(1U, 41U));
+INSTANTIATE_TEST_SUITE_P(Seeds, ControllerInvariantsTest, ::testing::Range(1U, 41U));
 
 }  // namespace
 }  // namespace ospreypost::test
--- a/tests/policy/endpoint_membership_test.cpp
+++ b/tests/policy/endpoint_membership_test.cpp
@@ -43,23 +43,23 @@
   }
 };
 
-TEST_F(EndpointMembershipTest, ANewReplicaHasToProveItself) {
+TEST_F(EndpointMembershipTest, ANewReplicaMustRecover) {
   const auto applied = apply(entry(1, 2));
-  EXPECT_TRUE(applied.is_placed_anew);
+  EXPECT_TRUE(applied.needs_block);
   EXPECT_TRUE(applied.must_recover);
   EXPECT_EQ(applied.replica.endpoint.zone, 2U);
   EXPECT_EQ(applied.replica.added, 100s);
 }
 
-TEST_F(EndpointMembershipTest, WhatIsListedAgainUnchangedStaysAsItIs) {
+TEST_F(EndpointMembershipTest, AnEntryListedAgainUnchangedHasNoEffect) {
   apply(entry(1));
   const auto applied = apply(entry(1), 110s);
-  EXPECT_FALSE(applied.is_placed_anew);
+  EXPECT_FALSE(applied.needs_block);
   EXPECT_FALSE(applied.must_recover);
   EXPECT_EQ(applied.replica.added, 100s);
 }
 
-TEST_F(EndpointMembershipTest, ARestartIsANewIncarnation) {
+TEST_F(EndpointMembershipTest, ARestartedReplicaMustRecover) {
   auto update = entry(1);
   update.started = 10s;
   apply(update);
@@ -67,7 +67,7 @@
   EXPECT_TRUE(apply(update, 110s).must_recover);
 }
 
-TEST_F(EndpointMembershipTest, KnownBeforeTheStartMeansTrustedUnlessItIsWarmingUp) {
+TEST_F(EndpointMembershipTest, AReplicaListedBeforeTheStartIsTrustedUnlessItIsWarmingUp) {
   EXPECT_FALSE(membership_.apply(entry(1), true, slow_start_, 100s).must_recover);
   auto update = entry(2);
   update.started = 99s;
@@ -76,18 +76,18 @@
   EXPECT_EQ(applied.replica.added, 99s);
 }
 
-TEST_F(EndpointMembershipTest, DrainingStopsService) {
+TEST_F(EndpointMembershipTest, ADrainingReplicaStopsServing) {
   apply(entry(1));
   const auto applied = apply(entry(1, 0, EndpointPhase::draining));
   EXPECT_TRUE(applied.stopped_serving);
   EXPECT_FALSE(applied.must_recover);
 }
 
-TEST_F(EndpointMembershipTest, AZoneThatIsNotConfiguredCountsAsTheLast) {
+TEST_F(EndpointMembershipTest, AnUnconfiguredZoneCountsAsTheLast) {
   EXPECT_EQ(apply(entry(1, 9)).replica.endpoint.zone, 2U);
 }
 
-TEST_F(EndpointMembershipTest, ACompleteListRemovesWhatItDoesNotName) {
+TEST_F(EndpointMembershipTest, ACompleteListRemovesReplicasThatItDoesNotContain) {
   list(3);
   EXPECT_TRUE(remove(EndpointListKind::complete, {entry(0)}));
   EXPECT_FALSE(replica(0).is_gone());
@@ -95,7 +95,7 @@
   EXPECT_TRUE(replica(2).is_gone());
 }
 
-TEST_F(EndpointMembershipTest, AListOfChangesRemovesOnlyWhatItCallsGone) {
+TEST_F(EndpointMembershipTest, AListOfChangesRemovesOnlyReplicasGivenAsGone) {
   list(3);
   EXPECT_TRUE(remove(EndpointListKind::changes, {entry(0), entry(1, 0, EndpointPhase::gone)}));
   EXPECT_FALSE(replica(0).is_gone());
@@ -113,21 +113,21 @@
   EXPECT_FALSE(replica(5).endpoint.removal_doubted) << "listed again";
 }
 
-TEST_F(AdvisoryRemovalTest, AListThatRemovesAFewIsBelieved) {
+TEST_F(AdvisoryRemovalTest, AListThatRemovesFewIsTrusted) {
   list(9);
   EXPECT_TRUE(remove(EndpointListKind::changes, {entry(5, 0, EndpointPhase::gone)}));
   EXPECT_TRUE(replica(5).is_gone());
 }
 
-TEST_F(EndpointMembershipTest, WhatIsGoneAndEjectedExpiresAfterItsRetention) {
+TEST_F(EndpointMembershipTest, AnEjectedReplicaThatIsGoneExpiresAfterTheRetentionTime) {
   list(2);
-  membership_.take_stock(100s);
+  membership_.collect_expired(100s);
   remove(EndpointListKind::changes, {entry(1, 0, EndpointPhase::gone)});
   membership_.replicas().at(ReplicaId{1}).ejected = true;
-  EXPECT_TRUE(membership_.take_stock(160s).empty());
-  EXPECT_EQ(membership_.take_stock(161s), std::vector<ReplicaId>{ReplicaId{1}});
+  EXPECT_TRUE(membership_.collect_expired(160s).empty());
+  EXPECT_EQ(membership_.collect_expired(161s), std::vector<ReplicaId>{ReplicaId{1}});
   membership_.forget(ReplicaId{1});
-  EXPECT_TRUE(apply(entry(1), 170s).is_placed_anew);
+  EXPECT_TRUE(apply(entry(1), 170s).needs_block);
 }
 
 }  // namespace
--- a/tests/policy/evidence_test.cpp
+++ b/tests/policy/evidence_test.cpp
@@ -15,14 +15,14 @@
   EXPECT_DOUBLE_EQ(sum.read(5s), 2);
 }
 
-TEST(DecayingSumTest, AddsToWhatIsLeft) {
+TEST(DecayingSumTest, AddsToTheDecayedSum) {
   DecayingSum sum(2s);
   sum.add(0s, 8);
   sum.add(2s, 1);
   EXPECT_DOUBLE_EQ(sum.read(2s), 5);
 }
 
-TEST(EvidenceClockTest, RunsWithTheTimeWhileReportsAreShort) {
+TEST(EvidenceClockTest, RunsAtRealTimeWhileReportsAreShort) {
   EvidenceClock clock(10s, 500ms);
   clock.add_report(100, 1s);
   clock.advance(13s);
@@ -38,7 +38,7 @@
   EXPECT_EQ(clock.evidence_time(), kEvidenceHalfLife);
 }
 
-TEST(EvidenceClockTest, AReportCountsByItsAttempts) {
+TEST(EvidenceClockTest, ReportsAreWeightedByTheirAttempts) {
   EvidenceClock clock(0s, 500ms);
   clock.add_report(30, 2s);
   clock.add_report(10, 10s);
@@ -52,7 +52,7 @@
   ASSERT_TRUE(outcomes.mean_latency(0s, 1));
   EXPECT_DOUBLE_EQ(*outcomes.mean_latency(0s, 1), 0.25);
   EXPECT_FALSE(outcomes.mean_latency(0s, 5));
-  EXPECT_FALSE(outcomes.mean_latency(kEvidenceHalfLife * 3, 1)) << "four decayed to half a one";
+  EXPECT_FALSE(outcomes.mean_latency(kEvidenceHalfLife * 3, 1)) << "4 successes decayed to 0.5";
 }
 
 }  // namespace
--- a/tests/policy/fleet_fixture.h
+++ b/tests/policy/fleet_fixture.h
@@ -1,4 +1,4 @@
-/// A small fleet for the tests of the parts that look at all replicas.
+/// A small fleet for tests of the parts of the decision module that work on all replicas.
 #pragma once
 
 #include <utility>
@@ -9,7 +9,7 @@
 
 namespace ospreypost::test {
 
-/// Replicas with outcomes, and the parts that those who judge them need.
+/// Replicas with outcomes, and the objects that the tested parts need to judge them.
 struct Fleet {
   explicit Fleet(Settings fleet_settings = small_settings())
       : settings(std::move(fleet_settings)),
@@ -18,7 +18,7 @@
         load_signal(settings),
         slow_start(settings) {}
 
-  /// A ready replica with attempts, some of them failed, and a utilization.
+  /// Adds a ready replica with the given attempts, failures and utilization.
   policy::Replica& add(std::uint32_t id, double attempts, double failed, float utilization = 0.5F) {
     auto& replica = replicas[ReplicaId{id}];
     replica.endpoint.phase = EndpointPhase::ready;
--- a/tests/policy/fleet_statistics_test.cpp
+++ b/tests/policy/fleet_statistics_test.cpp
@@ -10,7 +10,7 @@
 using test::Fleet;
 using namespace std::chrono_literals;
 
-TEST(FleetStatisticsTest, CountsWhatServesAndWhatIsEjected) {
+TEST(FleetStatisticsTest, CountsServingAndEjectedReplicas) {
   Fleet fleet;
   fleet.add(0, 10, 1);
   fleet.add(1, 10, 2);
@@ -24,14 +24,14 @@
   EXPECT_DOUBLE_EQ(statistics.ejected_weight, 1);
 }
 
-TEST(FleetStatisticsTest, CountsAttemptsForASuccessInEachZone) {
+TEST(FleetStatisticsTest, CountsAttemptsPerSuccessInEachZone) {
   Fleet fleet;
   fleet.add(0, 9, 5);
   fleet.add(1, 9, 0);
   const auto statistics = fleet.statistics();
   EXPECT_DOUBLE_EQ(statistics.attempts_per_success[0], 2);
   EXPECT_DOUBLE_EQ(statistics.attempts_per_success[1], 1);
-  EXPECT_DOUBLE_EQ(statistics.attempts_per_success[2], 1) << "nothing was seen there";
+  EXPECT_DOUBLE_EQ(statistics.attempts_per_success[2], 1) << "zone 2 has no replicas";
 }
 
 TEST(FleetStatisticsTest, UtilizationIsTheMeanByWeight) {
@@ -48,7 +48,7 @@
   fleet.add(0, 10, 0, 0.3F);
   fleet.add(1, 10, 0, 0.3F);
   fleet.add(2, 10, 9, 0.3F);
-  EXPECT_EQ(fleet.statistics().pressure, 0) << "a fault of one replica is not too much work";
+  EXPECT_EQ(fleet.statistics().pressure, 0) << "a fault of one replica is no overload";
   fleet.add_outcomes(fleet.replicas.at(ReplicaId{1}), 10, 9);
   EXPECT_GT(fleet.statistics().pressure, 1);
 }
--- a/tests/policy/load_signal_test.cpp
+++ b/tests/policy/load_signal_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_DOUBLE_EQ(signal.reported_load(replica, clock.evidence_time()).value(), 0.25);
 }
 
-TEST(LoadSignalTest, ACountIsTakenByWeight) {
+TEST(LoadSignalTest, ACountIsDividedByTheWeight) {
   const LoadSignal signal(settings_with({LoadMetric::queue, LoadMetric::inflight}));
   EXPECT_TRUE(signal.is_count());
   Replica replica;
@@ -37,12 +37,12 @@
   EXPECT_DOUBLE_EQ(signal.reported_load(replica, clock.evidence_time()).value(), 2);
 }
 
-TEST(LoadSignalTest, NothingIsReportedWhereNoColumnTellsOfLoad) {
+TEST(LoadSignalTest, ThereIsNoSignalIfNoColumnMeasuresLoad) {
   EXPECT_FALSE(LoadSignal(settings_with({LoadMetric::latency, LoadMetric::errors})).is_reported());
   EXPECT_FALSE(LoadSignal(settings_with({LoadMetric::util}, ReportingMode::none)).is_reported());
 }
 
-TEST(LoadSignalTest, ByHealthCheckOnlyWhereThoseAreAllowed) {
+TEST(LoadSignalTest, UsesHealthChecksOnlyIfTheyAreAllowed) {
   Settings settings = settings_with({LoadMetric::util}, ReportingMode::by_health_check);
   EXPECT_FALSE(LoadSignal(settings).is_reported());
   EXPECT_FALSE(LoadSignal(settings).needs_health_checks());
@@ -52,18 +52,18 @@
   EXPECT_FALSE(LoadSignal(settings_with({LoadMetric::util})).needs_health_checks());
 }
 
-TEST(LoadSignalTest, OldReportsAndMissingColumnsTellNothing) {
+TEST(LoadSignalTest, IgnoresOldReportsAndMissingColumns) {
   const LoadSignal signal(settings_with({LoadMetric::errors, LoadMetric::util}));
   Replica replica;
   const EvidenceClock clock(100s, 500ms);
   signal.record(replica, {0.5F}, clock);
   EXPECT_FALSE(signal.reported_load(replica, clock.evidence_time()));
-  replica.outcomes_count_from = 101s;
+  replica.reports_accepted_from = 101s;
   signal.record(replica, {0, 0.5F}, clock);
   EXPECT_FALSE(signal.reported_load(replica, clock.evidence_time()));
 }
 
-TEST(LoadSignalTest, WhatIsNoLoadTellsNothing) {
+TEST(LoadSignalTest, IgnoresInvalidLoadValues) {
   const LoadSignal signal(settings_with({LoadMetric::util}));
   Replica replica;
   const EvidenceClock clock(100s, 500ms);
--- a/tests/policy/locality_planner_test.cpp
+++ b/tests/policy/locality_planner_test.cpp
@@ -11,10 +11,10 @@
 using test::small_settings;
 using namespace std::chrono_literals;
 
-/// Where replicas have that much capacity left, unforeseen demand needs no sharing.
+/// Utilization that leaves enough headroom for unexpected demand, so that all demand stays in its zone.
 constexpr float kIdle = 0.2F;
 
-/// Nine replicas over three zones, a proxy in each.
+/// Three zones, each with three replicas and one proxy.
 struct PlannedFleet : Fleet {
   explicit PlannedFleet(const Settings& fleet_settings = small_settings())
       : Fleet(fleet_settings), assignment(settings, classes), planner(settings), demand(1, 3) {
@@ -30,7 +30,7 @@
     const auto fleet = statistics();
     return planner.plan({replicas, slow_start, classes.groups(), assignment, fleet, demand, clock.now()});
   }
-  /// The part of a table's weight that goes to a zone.
+  /// Returns the fraction of a table's weight that belongs to replicas of a zone.
   double zone_share(const TableEntries& table, std::size_t zone) const {
     double total = 0;
     double own = 0;
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(LocalityPlannerTest, WhatAZoneCannotTakeSpillsIntoTheOthers) {
+TEST(LocalityPlannerTest, DemandBeyondAZonesCapacitySpillsIntoTheOthers) {
   PlannedFleet fleet;
   fleet.assignment.add_demand(ProxyId{0}, 0, 200, 0s);
   const auto tables = fleet.plan();
@@ -83,7 +83,7 @@
   EXPECT_EQ(tables.at(0, 0).size(), 6U);
 }
 
-TEST(LocalityPlannerTest, GroupsKeepToTheirAllowedEndpoints) {
+TEST(LocalityPlannerTest, GroupsUseOnlyTheirAllowedEndpoints) {
   Settings settings = small_settings();
   settings.classes[1].allowed_zones = {ZoneId{2}};
   PlannedFleet fleet(settings);
@@ -102,7 +102,7 @@
   EXPECT_NEAR(table.at(ReplicaId{3}) / table.at(ReplicaId{0}), kFloor, 1e-9);
 }
 
-TEST(LocalityPlannerTest, ProxiesThatAvoidTheBusyDoNotSpillIntoACongestedZone) {
+TEST(LocalityPlannerTest, ProxiesThatPickTheLessBusyReplicaDoNotSpillIntoACongestedZone) {
   Settings settings = small_settings();
   settings.picking = PickingPolicy::two;
   PlannedFleet fleet(settings);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -19,14 +19,14 @@
   OutlierDetector detector;
 };
 
-TEST(OutlierDetectorTest, TripsWhatFailsAboveTheOthers) {
+TEST(OutlierDetectorTest, TripsAReplicaThatFailsMoreThanTheOthers) {
   DetectedFleet fleet;
   for (std::uint32_t id = 0; id < 6; ++id) fleet.add(id, 10, id == 4 ? 8 : 1);
   EXPECT_TRUE(fleet.evaluate());
   for (std::uint32_t id = 0; id < 6; ++id) EXPECT_EQ(fleet.is_open(id), id == 4) << id;
 }
 
-TEST(OutlierDetectorTest, WhatFailsEverywhereTripsNone) {
+TEST(OutlierDetectorTest, FailuresAtAllReplicasTripNone) {
   DetectedFleet fleet;
   for (std::uint32_t id = 0; id < 6; ++id) fleet.add(id, 10, 8);
   EXPECT_FALSE(fleet.evaluate());
@@ -45,17 +45,17 @@
   EXPECT_TRUE(fleet.is_open(4));
 }
 
-TEST(OutlierDetectorTest, WhatIsOnlyFullIsSpared) {
+TEST(OutlierDetectorTest, DoesNotTripAReplicaThatIsOnlyFull) {
   for (const double successes : {0.0, 2.0}) {
     DetectedFleet fleet;
     for (std::uint32_t id = 0; id < 6; ++id) fleet.add(id, 10, 0, 0.4F);
     fleet.replicas.erase(ReplicaId{4});
     fleet.add(4, 10, 10 - successes, 1.0F);
-    EXPECT_EQ(fleet.evaluate(), successes == 0) << "nothing succeeds at what is dead";
+    EXPECT_EQ(fleet.evaluate(), successes == 0) << "a faulty replica has no successes";
   }
 }
 
-TEST(OutlierDetectorTest, NeverEjectsMoreThanItsLimit) {
+TEST(OutlierDetectorTest, NeverEjectsMoreWeightThanTheLimit) {
   DetectedFleet fleet;
   for (std::uint32_t id = 0; id < 12; ++id) fleet.add(id, 10, id < 5 ? 10 : 0, 0.2F);
   EXPECT_TRUE(fleet.evaluate());
@@ -64,7 +64,7 @@
   EXPECT_EQ(open, 4) << "0.34 of 12";
 }
 
-TEST(OutlierDetectorTest, ADoubtedReplicaGoesForGoodWithItsFirstFailures) {
+TEST(OutlierDetectorTest, ADoubtedReplicaIsGoneAfterItsFirstFailures) {
   DetectedFleet fleet;
   for (std::uint32_t id = 0; id < 6; ++id) fleet.add(id, 10, 0);
   fleet.replicas.erase(ReplicaId{4});
@@ -85,8 +85,8 @@
   fleet.evaluate();
   EXPECT_TRUE(replica.breaker.is_half_open());
   EXPECT_EQ(replica.outcomes.attempts.read(fleet.clock.evidence_time()), 0);
-  EXPECT_EQ(replica.outcomes_count_from, fleet.clock.now() + 1s + fleet.settings.message_delay)
-      << "a report's span and the way to the proxies";
+  EXPECT_EQ(replica.reports_accepted_from, fleet.clock.now() + 1s + fleet.settings.message_delay)
+      << "the span of a report and the message delay to the proxies";
 }
 
 TEST(OutlierDetectorTest, ClosesOnSoundEvidence) {
@@ -114,7 +114,7 @@
   for (std::uint32_t id = 0; id < 3; ++id) EXPECT_EQ(fleet.is_open(id), id != 1) << id;
 }
 
-TEST(OutlierDetectorTest, RestoresNothingWhereOneServes) {
+TEST(OutlierDetectorTest, RestoresNoReplicaWhereOneServes) {
   DetectedFleet fleet;
   for (std::uint32_t id = 0; id < 3; ++id) fleet.add(id, 10, 0);
   fleet.replicas.at(ReplicaId{0}).breaker.trip(100s);
--- a/tests/policy/recording_sink.h
+++ b/tests/policy/recording_sink.h
@@ -1,4 +1,4 @@
-/// An action sink that notes what it is given, for the tests of single parts of the decision module.
+/// An action sink that records the actions it receives, for tests of single parts of the decision module.
 #pragma once
 
 #include <string>
--- a/tests/policy/request_classes_test.cpp
+++ b/tests/policy/request_classes_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_EQ(group.zone_choices(3), 1U);
 }
 
-TEST(RequestClassesTest, AGroupMayBeBoundToItsProxysZone) {
+TEST(RequestClassesTest, AGroupMayBeRestrictedToItsProxysZone) {
   const RoutingGroup group{1, true, {}, {}};
   EXPECT_TRUE(group.may_use(2, replica_in(2)));
   EXPECT_FALSE(group.may_use(1, replica_in(2)));
--- a/tests/policy/slow_channel_test.cpp
+++ b/tests/policy/slow_channel_test.cpp
@@ -1,5 +1,5 @@
-/// The channel's limit while the channel runs at a fraction of its stated pace, beside a plain model of it:
-/// messages leave one after the other, and proxies acknowledge those that ask for it.
+/// Tests that the limit of queued entries holds while the channel runs at a fraction of its configured rate.
+/// Fake proxies model the channel: messages leave in order, and proxies acknowledge them if requested.
 #include <gtest/gtest.h>
 
 #include "policy/controller_fixture.h"
@@ -18,9 +18,9 @@
 }
 
 struct SlowChannelFixture {
-  /// `pace`: of the stated entries a second.
-  explicit SlowChannelFixture(double pace)
-      : proxies(settings.message_overhead_entries, pace * settings.channel_entries_per_second),
+  /// `rate_fraction`: rate of the channel as a fraction of the configured rate.
+  explicit SlowChannelFixture(double rate_fraction)
+      : proxies(settings.message_overhead_entries, rate_fraction * settings.channel_entries_per_second),
         controller(settings, 7, proxies.now, proxies) {
     std::vector<EndpointUpdate> entries;
     for (std::uint32_t id = 0; id < kReplicas; ++id) entries.push_back(entry(id));
@@ -31,19 +31,19 @@
       proxies.send_messages();
     }
   }
-  // Reports that move the weights, then a second.
-  void run_second(unsigned turn) {
+  // Sends load reports that change the weights, and then advances the clock by one second.
+  void run_second(unsigned second) {
     for (std::uint32_t id = 0; id < kReplicas; ++id) {
       ReplicaLoadReport report;
       report.replica = ReplicaId{id};
       report.attempts = 20;
       report.mean_latency = 100ms;
       report.span = 1s;
-      report.load = {(id + turn) % 5 < 2 ? 0.8F : 0.1F};
+      report.load = {(id + second) % 5 < 2 ? 0.8F : 0.1F};
       controller.on_replica_load_report(proxies.now, report);
       proxies.send_messages();
     }
-    proxies.pass(controller, 1s);
+    proxies.advance(controller, 1s);
   }
 
   static constexpr std::uint32_t kReplicas = 30;
@@ -52,19 +52,20 @@
   Controller controller;
 };
 
-// Found on the fleet's split, roll and join days of seed 6: at a sixth of its pace the channel held 20,299
-// entries of 20,200, while it was believed to run at half.
-TEST(SlowChannelTest, NeverHoldsMoreThanItsLimit) {
-  for (const double pace : {1.0, 0.3, 0.15, 0.1}) {
-    SlowChannelFixture fixture(pace);
+// Guards against an estimate of the queue that is too low: in simulated fleet days of seed 6 (split, roll and
+// join) the channel ran at a sixth of its configured rate while the controller assumed half of it, and the
+// queue grew to 20,299 entries at a limit of 20,200.
+TEST(SlowChannelTest, QueuedEntriesStayWithinTheLimit) {
+  for (const double rate_fraction : {1.0, 0.3, 0.15, 0.1}) {
+    SlowChannelFixture fixture(rate_fraction);
     for (unsigned second = 0; second < 60; ++second) fixture.run_second(second);
     EXPECT_LE(fixture.proxies.max_queued_entries, fixture.settings.channel_max_queued_entries)
-        << "at " << pace << " of its pace";
-    EXPECT_EQ(fixture.proxies.bound_proxies.size(), 60U) << "and every proxy has its tables";
+        << "at " << rate_fraction << " of its configured rate";
+    EXPECT_EQ(fixture.proxies.bound_proxies.size(), 60U) << "every proxy is bound to its tables";
   }
 }
 
-TEST(SlowChannelTest, DrainsAreSentAsItEmpties) {
+TEST(SlowChannelTest, DrainingReplicasAreEjectedAsTheChannelEmpties) {
   SlowChannelFixture fixture(0.15);
   for (unsigned second = 0; second < 20; ++second) fixture.run_second(second);
   for (std::uint32_t id = 0; id < 5; ++id) {
@@ -77,8 +78,8 @@
   EXPECT_LE(fixture.proxies.max_queued_entries, fixture.settings.channel_max_queued_entries);
 }
 
-// Where proxies never acknowledge, half the stated pace is counted on.
-TEST(SlowChannelTest, WithoutAcknowledgementsActionsGoOnAtHalfTheStatedPace) {
+// Where proxies never acknowledge anything, the controller relies on half of the configured rate.
+TEST(SlowChannelTest, WithoutAcknowledgementsActionsContinueAtHalfTheConfiguredRate) {
   SlowChannelFixture fixture(0.5);
   fixture.proxies.acknowledges = false;
   for (unsigned second = 0; second < 30; ++second) fixture.run_second(second);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_DOUBLE_EQ(slow_start.weight_fraction(replica, 102s + 2 * kClimbDuration, kNoPressure), 1);
 }
 
-TEST(SlowStartTest, AWarmingReplicaNeverExceedsTheCapacityThatItHasByThen) {
+TEST(SlowStartTest, AWarmingReplicaNeverExceedsItsWarmUpCapacity) {
   const Settings settings = small_settings();
   const SlowStart slow_start(settings);
   const Replica replica = started_replica(100s);
@@ -55,7 +55,7 @@
   EXPECT_FALSE(slow_start.is_warming_up(replica, 100s + settings.warm_up_duration));
 }
 
-TEST(SlowStartTest, ANewReplicaClimbsWithoutEvidenceUnlessOverloadCouldHitIt) {
+TEST(SlowStartTest, ANewReplicaClimbsWithoutEvidenceUnlessOverloadCouldMakeItFail) {
   Settings settings = small_settings();
   settings.warm_up_duration = 1s;
   for (const auto overload_duration : {500ms, 2000ms}) {
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(SlowStartTest, HoldsWarmingReplicasOutOfACongestedZone) {
+TEST(SlowStartTest, KeepsWarmingReplicasOutOfACongestedZone) {
   SlowStart slow_start(small_settings());
   RecordingSink sink;
   Replica warming = started_replica(100s);
@@ -79,15 +79,16 @@
   EXPECT_FALSE(slow_start.may_serve(warming, 101s));
   EXPECT_TRUE(slow_start.may_serve(warm, 101s));
   warming.endpoint.zone = 1;
-  EXPECT_TRUE(slow_start.may_serve(warming, 101s)) << "another zone";
+  EXPECT_TRUE(slow_start.may_serve(warming, 101s)) << "its zone is not congested";
   EXPECT_EQ(sink.logged.size(), 1U);
 }
 
-TEST(SlowStartTest, ReleasesOnlyWellBelowTheCongestionThatItHoldsAt) {
+TEST(SlowStartTest, ReleasesOnlyWellBelowTheCongestionThatHolds) {
   SlowStart slow_start(small_settings());
   RecordingSink sink;
   const Replica warming = started_replica(100s);
-  // By an overload multiple of 3: 0.15 and 0.1 of the way to it.
+  // With an overload multiple of 3, replicas are held above 1.3 attempts per success (0.15 of the way from 1
+  // to 3) and released at 1.2 or below (0.1 of the way).
   slow_start.update_holds({1.31, 1, 1}, sink);
   EXPECT_FALSE(slow_start.may_serve(warming, 101s));
   slow_start.update_holds({1.25, 1, 1}, sink);
@@ -99,7 +100,7 @@
   EXPECT_EQ(sink.logged.size(), 2U);
 }
 
-TEST(SlowStartTest, ReleasesAllWhereNobodyElseServes) {
+TEST(SlowStartTest, ReleaseAllLetsWarmingReplicasServe) {
   SlowStart slow_start(small_settings());
   RecordingSink sink;
   slow_start.update_holds({2, 2, 2}, sink);
@@ -107,7 +108,7 @@
   EXPECT_TRUE(slow_start.may_serve(started_replica(100s), 101s));
 }
 
-TEST(SlowStartTest, WhatIsOpenDrainingOrGoneMayNotServe) {
+TEST(SlowStartTest, EjectedDrainingAndGoneReplicasMayNotServe) {
   const SlowStart slow_start(small_settings());
   Replica tripped = ready_replica();
   tripped.breaker.trip(100s);
--- a/tests/policy/subset_assignment_test.cpp
+++ b/tests/policy/subset_assignment_test.cpp
@@ -47,7 +47,8 @@
 
 TEST(SubsetAssignmentTest, ASlowChannelMakesMoreBlocks) {
   AssignedFleet fleet(one_zone(100), 80);
-  // 4 s of 1,020 entries a second, for 100 proxies, less the overhead of 5: tables of 35.8.
+  // In 4 s the channel sends 4,080 entries (1,020 per second): 40.8 for each of 100 proxies. Less the message
+  // overhead of 5, a table may have 35.8 entries.
   fleet.lay_out({1020, 5});
   EXPECT_EQ(fleet.assignment.layout().blocks[0], 2U);
 }
@@ -56,7 +57,8 @@
   Settings settings = one_zone(100);
   settings.min_replica_connections = 50;
   AssignedFleet fleet(settings, 80);
-  // Half of its 50, of the 100 proxies: tables of 20.
+  // A replica may have 25 connections, half of the 50 that it accepts. With 100 proxies and 80 replicas a
+  // table may have 20 entries.
   fleet.lay_out();
   EXPECT_EQ(fleet.assignment.layout().blocks[0], 4U);
 }
@@ -98,12 +100,13 @@
   const auto demand = fleet.assignment.update_demand(0s);
   EXPECT_DOUBLE_EQ(demand.by_zone[0], 40);
   EXPECT_DOUBLE_EQ(demand.by_group[0][0], 40) << "both classes share a group";
-  EXPECT_DOUBLE_EQ(sum_of(fleet.assignment.subsets()[0].demand), 30) << "only of what is bound to it";
+  EXPECT_DOUBLE_EQ(sum_of(fleet.assignment.subsets()[0].demand), 30)
+      << "only the demand of proxies bound to the subset";
   EXPECT_EQ(fleet.assignment.unassigned_proxies(), 1);
   EXPECT_DOUBLE_EQ(fleet.assignment.own_share(), 2.0 / 3);
 }
 
-TEST(SubsetAssignmentTest, UsualDemandStandsInUntilReportsCome) {
+TEST(SubsetAssignmentTest, UsualDemandIsUsedUntilReportsArrive) {
   AssignedFleet fleet(one_zone(), 3);
   fleet.add_proxy(1, 10, std::nullopt);
   const double steady = 10 * to_seconds(kDemandHalfLife) / 0.6931471805599453;
@@ -128,15 +131,15 @@
   AssignedFleet fleet_;
 };
 
-TEST_F(TwoSubsetsTest, AProxyGoesToTheLeastLoadedSubset) {
+TEST_F(TwoSubsetsTest, FindsTheLeastLoadedSubset) {
   ASSERT_EQ(fleet_.assignment.subsets().size(), 2U);
   EXPECT_EQ(fleet_.assignment.least_loaded(0), 1U);
 }
 
-TEST_F(TwoSubsetsTest, TheLargestProxyThatDoesNotTipTheBalanceMigrates) {
+TEST_F(TwoSubsetsTest, TheProxyWithTheMostDemandThatDoesNotReverseTheLoadsMigrates) {
   const auto migration = fleet_.assignment.find_migration(0);
   ASSERT_TRUE(migration);
-  // The loads are 16 and 10: what moves may be 3 at most.
+  // The subsets' loads are 16 and 10, so the migrating proxy may have a demand of 3 at most.
   EXPECT_EQ(migration->proxy, ProxyId{2});
   EXPECT_EQ(migration->subset, 1U);
   fleet_.assignment.assign(migration->proxy, migration->subset, 0s);
@@ -144,12 +147,12 @@
   EXPECT_EQ(fleet_.assignment.subsets()[1].proxies, 2);
 }
 
-TEST_F(TwoSubsetsTest, NobodyMigratesWithinTheBand) {
+TEST_F(TwoSubsetsTest, NoProxyMigratesBetweenSimilarLoads) {
   fleet_.assignment.assign(ProxyId{2}, 1, 0s);
-  EXPECT_FALSE(fleet_.assignment.find_migration(0)) << "14 against 12";
+  EXPECT_FALSE(fleet_.assignment.find_migration(0)) << "loads of 14 and 12";
 }
 
-TEST_F(TwoSubsetsTest, AProxyThatLeavesIsCountedOut) {
+TEST_F(TwoSubsetsTest, AProxyThatLeavesIsNoLongerCounted) {
   fleet_.assignment.remove_proxy(ProxyId{1});
   fleet_.assignment.remove_proxy(ProxyId{77});
   EXPECT_EQ(fleet_.assignment.subsets()[0].proxies, 2);
--- a/tests/policy/table_publisher_test.cpp
+++ b/tests/policy/table_publisher_test.cpp
@@ -18,7 +18,7 @@
   return settings;
 }
 
-/// Four replicas of one zone, one subset, one proxy.
+/// A fleet of one zone with four replicas, one subset and one proxy, whose tables are published.
 struct PublishedFleet : Fleet {
   explicit PublishedFleet(const Settings& fleet_settings = publisher_settings())
       : Fleet(fleet_settings),
@@ -51,7 +51,7 @@
   WantedState wanted;
 };
 
-TEST(TablePublisherTest, SendsOnlyWhatDiffers) {
+TEST(TablePublisherTest, SendsOnlyEntriesThatDiffer) {
   PublishedFleet fleet;
   fleet.publish_after(10s);
   EXPECT_TRUE(fleet.sink.entries.empty());
@@ -63,7 +63,7 @@
   EXPECT_EQ(fleet.sink.entries[0].weight, 1.2);
 }
 
-TEST(TablePublisherTest, WhatDrainsLeavesItsTablesAndIsEjected) {
+TEST(TablePublisherTest, ADrainingReplicaLeavesItsTablesAndIsEjected) {
   PublishedFleet fleet;
   fleet.replica(1).endpoint.phase = EndpointPhase::draining;
   fleet.wanted.tables.at(0, 0).erase(ReplicaId{1});
@@ -72,17 +72,17 @@
   EXPECT_EQ(fleet.sink.entries[0].weight, 0);
   ASSERT_EQ(fleet.sink.ejections.size(), 1U);
   EXPECT_TRUE(fleet.sink.ejections[0].ejected);
-  EXPECT_TRUE(fleet.publisher.holders_of(ReplicaId{1}).empty());
+  EXPECT_TRUE(fleet.publisher.subsets_holding(ReplicaId{1}).empty());
 }
 
-TEST(TablePublisherTest, WhatTrippedKeepsItsEntryForItsReturn) {
+TEST(TablePublisherTest, AnEjectedOutlierKeepsItsEntryForItsReturn) {
   PublishedFleet fleet;
   fleet.replica(1).breaker.trip(fleet.clock.now());
   fleet.wanted.tables.at(0, 0).erase(ReplicaId{1});
   fleet.publish_after(10s);
   EXPECT_TRUE(fleet.sink.entries.empty());
   EXPECT_EQ(fleet.sink.ejections.size(), 1U);
-  EXPECT_EQ(fleet.publisher.holders_of(ReplicaId{1}).size(), 1U);
+  EXPECT_EQ(fleet.publisher.subsets_holding(ReplicaId{1}).size(), 1U);
 }
 
 TEST(TablePublisherTest, ReadmitsOnlyAfterTheNewEntryWasSent) {
@@ -98,7 +98,7 @@
   EXPECT_FALSE(fleet.replica(1).ejected);
 }
 
-TEST(TablePublisherTest, AnEjectionThatDoesNotFitIsTriedAgain) {
+TEST(TablePublisherTest, AnEjectionThatDoesNotFitIsSentLater) {
   PublishedFleet fleet(publisher_settings(20));
   fleet.channel.add(1000, 1);
   fleet.replica(1).endpoint.phase = EndpointPhase::draining;
@@ -111,14 +111,14 @@
   EXPECT_FALSE(fleet.publisher.is_urgent());
 }
 
-TEST(TablePublisherTest, LeavesAMessageGapToEachSubset) {
+TEST(TablePublisherTest, KeepsTheMinimumGapBetweenMessagesToASubset) {
   PublishedFleet fleet;
   fleet.wanted.tables.at(0, 0)[ReplicaId{2}] = 2;
   fleet.publish_after(10s);
   ASSERT_EQ(fleet.sink.entries.size(), 1U);
   fleet.wanted.tables.at(0, 0)[ReplicaId{2}] = 3;
   fleet.publish_after(500ms);
-  EXPECT_TRUE(fleet.sink.entries.empty()) << "14 messages in 10 s, less 3";
+  EXPECT_TRUE(fleet.sink.entries.empty()) << "14 messages in 10 s, of which 3 are reserved";
   fleet.publish_after(500ms);
   EXPECT_EQ(fleet.sink.entries.size(), 1U);
 }
@@ -128,7 +128,7 @@
   fleet.wanted.tables.at(0, 0).clear();
   fleet.publish_after(10s);
   EXPECT_TRUE(fleet.sink.entries.empty());
-  EXPECT_EQ(fleet.publisher.holders_of(ReplicaId{0}).size(), 1U);
+  EXPECT_EQ(fleet.publisher.subsets_holding(ReplicaId{0}).size(), 1U);
 }
 
 TEST(TablePublisherTest, AdmittedFractionsAreSentWhenTheyDifferEnough) {
@@ -158,8 +158,8 @@
   const auto& groups = fleet.classes.groups();
   fleet.channel.queued_entries(fleet.clock.now() + 100s);
   const Nanos now = fleet.clock.now() + 100s;
-  // The overhead of 6, and a table of 4 with its binding and two classes' fractions: 13.
-  EXPECT_FALSE(fleet.publisher.bind(ProxyId{2}, 0, groups, fleet.replicas, kPlainQueueFraction, now));
+  // A binding costs 13 entries: 6 of message overhead, 1 binding, 4 table entries and 2 admitted fractions.
+  EXPECT_FALSE(fleet.publisher.bind(ProxyId{2}, 0, groups, fleet.replicas, kNonUrgentQueueFraction, now));
   EXPECT_TRUE(fleet.publisher.bind(ProxyId{2}, 0, groups, fleet.replicas, kJoiningQueueFraction, now));
   ASSERT_EQ(fleet.sink.bindings.size(), 1U);
   EXPECT_EQ(fleet.sink.bindings[0].classes, 0b11);
@@ -176,10 +176,10 @@
   EXPECT_TRUE(batch.try_reserve({0}, 10, MessageBatch::Unassigned::excluded));
   EXPECT_EQ(batch.capacity(), capacity - 16);
   EXPECT_TRUE(batch.try_reserve({0}, 10, MessageBatch::Unassigned::excluded));
-  EXPECT_EQ(batch.capacity(), capacity - 26) << "the overhead is paid once a message";
+  EXPECT_EQ(batch.capacity(), capacity - 26) << "each message has its overhead only once";
 }
 
-TEST(MessageBatchTest, AHeldBackSubsetTakesNothingMore) {
+TEST(MessageBatchTest, AHeldBackSubsetAcceptsNoEntries) {
   PublishedFleet fleet;
   const std::vector<Nanos> last_messages{Nanos{}};
   MessageBatch batch(fleet.channel, fleet.assignment, {last_messages, 1s}, 6, fleet.clock.now());
@@ -189,7 +189,7 @@
   EXPECT_TRUE(batch.try_reserve({0}, 1, MessageBatch::Unassigned::excluded));
 }
 
-TEST(MessageBatchTest, ProxiesWithoutASubsetAreCountedWhereTheyAreMeant) {
+TEST(MessageBatchTest, ProxiesWithoutASubsetAreCountedIfIncluded) {
   PublishedFleet fleet;
   fleet.assignment.add_proxy(ProxyId{2}, 0, 10, 0s);
   const std::vector<Nanos> last_messages{Nanos{}};
