--- a/src/policy/admission_controller.h
+++ b/src/policy/admission_controller.h
@@ -23,7 +23,7 @@
 
  private:
   const bool may_shed_;
-  // This is the most permissive mode that is safe for every class, also for classes that are not idempotent.
+  // after_rejection_proof is the most permissive mode that is safe for every class, idempotent or not.
   RetryMode retry_mode_ = RetryMode::after_rejection_proof;
   double admitted_work_ = 1;  // admitted fraction of the work demanded
 };
--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -91,7 +91,8 @@
 }
 
 void Controller::ControlLoop::collect_statistics() {
-  // The capacities depend on the pressure and the warm-up holds from the previous collection.
+  // The capacities depend on the pressure, and on the zones in which replicas that are warming up are kept
+  // out of service, as of the previous collection of statistics.
   assignment_.update_capacities(replicas(), slow_start_, clock_.now(), fleet_.pressure);
   const policy::FleetView view{replicas(), slow_start_, load_signal_, classes_, clock_};
   fleet_ = collect_fleet_statistics(view, fleet_);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -71,7 +71,8 @@
       confirm(id, replica);
       continue;
     }
-    // The limit prevents many ejections at once when all replicas are slow, which would overload the rest.
+    // If many replicas are slow, ejecting all of them would overload the rest, so the ejected weight is
+    // limited.
     const bool fits_limit = ejected_weight + replica.endpoint.weight <= max_ejected_weight;
     if (!replica.endpoint.removal_doubted && !fits_limit) continue;
     trip(id, replica);
