--- a/src/policy/evidence.h
+++ b/src/policy/evidence.h
@@ -28,7 +28,8 @@
 
 /// Keeps the current time and the evidence time, which is the time by which observations decay.
 /// The larger the fleet, the rarer are the load reports and the longer are the spans that they cover.
-/// Evidence time is dilated (it runs slower than real time) so that no half-life is shorter than such a span.
+/// Evidence time is dilated (runs slower than real time) so that no half-life is shorter than a report's
+/// span.
 class EvidenceClock {
  public:
   EvidenceClock(Nanos now, Nanos control_interval) : control_interval_(control_interval), now_(now) {}
--- a/src/policy/fleet_statistics.h
+++ b/src/policy/fleet_statistics.h
@@ -9,7 +9,7 @@
 
 namespace ospreypost::policy {
 
-/// Mean utilization of the replicas that is not to be exceeded. The rest is headroom for unexpected demand.
+/// Maximum mean utilization of the replicas. The rest of their capacity is headroom for unexpected demand.
 inline constexpr double kTargetUtilization = 0.85;
 /// Fraction of failed attempts from which the median replica counts as overloaded.
 inline constexpr double kOverloadFailureRatio = 0.12;
--- a/src/policy/load_feedback.h
+++ b/src/policy/load_feedback.h
@@ -12,7 +12,7 @@
  public:
   explicit LoadFeedback(const LoadSignal& signal) : signal_(signal) {}
   /// Adjusts the load correction of each replica whose load is far from the mean.
-  /// Has an effect only once in several iterations of the control loop, judged by the number `iteration`.
+  /// Has an effect only once in several iterations of the control loop; `iteration` is their running number.
   void adjust(ReplicaMap& replicas, Nanos evidence_time, unsigned iteration) const;
 
  private:
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -12,7 +12,7 @@
 constexpr double kTripFailureRatio = 0.5;
 /// Minimum number of failures, after their decay, that trips a closed breaker.
 constexpr double kTripFailures = 4;
-/// Minimum number of failures that trips a half-open breaker or that of a replica whose removal is doubted.
+/// Minimum number of failures that trips a breaker that is half-open or whose replica's removal is doubted.
 constexpr double kRetripFailures = 2;
 /// Thin traffic reduces the minimum number of failures to this fraction of the mean attempts at a replica.
 constexpr double kThinTrafficFailureFraction = 0.5;
