--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -1,5 +1,6 @@
-// DNS answers a second for tables of 8, 40 and 200 lines, as a ratio to a bare UDP echo of the same sizes in
-// the same run, both by one serving thread; and the latency of answers at half that load.
+// Measures the DNS answers per second for routing tables of 8, 40 and 200 entries. The rate is compared with
+// a UDP echo of messages of the same sizes in the same run; DNS server and echo have one thread each. Also
+// measures the latency of DNS answers and of echoes, each at half of the rate measured at full load.
 //
 //   bench_dns [SECONDS]
 #include <algorithm>
@@ -18,78 +19,84 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-struct Fixed : delivery::PullService {
-  explicit Fixed(std::uint32_t lines) {
-    delivery::EndpointDirectory places;
-    auto view = std::make_shared<routing_state::RoutingTable>();
-    view->traffic_policies.resize(2);
-    for (std::uint32_t id = 0; id < lines; ++id) {
-      places.endpoints.push_back({"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
-      view->entries.push_back({ReplicaId{id}, 1.0 + id});
+struct FixedPullService : delivery::PullService {
+  explicit FixedPullService(std::uint32_t entry_count) {
+    delivery::EndpointDirectory endpoint_directory;
+    auto routing_table = std::make_shared<routing_state::RoutingTable>();
+    routing_table->traffic_policies.resize(2);
+    for (std::uint32_t id = 0; id < entry_count; ++id) {
+      endpoint_directory.endpoints.push_back(
+          {"unit-" + std::to_string(id), "east", {"127.0.0.1", 9000}, false});
+      routing_table->entries.push_back({ReplicaId{id}, 1.0 + id});
     }
     auto proxy_snapshot = std::make_shared<routing_state::ProxySnapshot>();
-    proxy_snapshot->routing_tables = {view, view};
-    told.ttl_decision = {dns::ClientService::replicas, dns::Ttl{2}};
-    told.proxy_snapshot = proxy_snapshot;
-    told.directory = std::make_shared<delivery::EndpointDirectory>(std::move(places));
+    proxy_snapshot->routing_tables = {routing_table, routing_table};
+    pull_answer.ttl_decision = {dns::ClientService::replicas, dns::Ttl{2}};
+    pull_answer.proxy_snapshot = proxy_snapshot;
+    pull_answer.directory = std::make_shared<delivery::EndpointDirectory>(std::move(endpoint_directory));
+  }
+  delivery::PullAnswer on_query(ProxyId, ClassId) override { return pull_answer; }
+  delivery::PullAnswer on_zone_query(ZoneId) override { return pull_answer; }
+  std::shared_ptr<const delivery::EndpointDirectory> directory() const override {
+    return pull_answer.directory;
   }
-  delivery::PullAnswer on_query(ProxyId, ClassId) override { return told; }
-  delivery::PullAnswer on_zone_query(ZoneId) override { return told; }
-  std::shared_ptr<const delivery::EndpointDirectory> directory() const override { return told.directory; }
   routing_state::SnapshotVersion version() const override { return {}; }
-  delivery::PullAnswer told;
+  delivery::PullAnswer pull_answer;
 };
 
-struct Load {
+struct LoadResult {
   double per_second = 0, p50_us = 0, p99_us = 0;
 };
 
-// Two askers with a window of questions each, or at a stated pace with one each.
-Load ask(const net::Address& server, const dns::Bytes& question, double seconds, double pace) {
-  constexpr int askers = 2;
+// Sends `question` to `server` for `seconds` from two client threads and measures the rate of the answers.
+// With `queries_per_second` 0, each client keeps 16 queries in flight. Otherwise the clients together send
+// at that rate, with one query in flight per client, and the latency of the answers is measured too.
+LoadResult measure_load(const net::Address& server, const dns::Bytes& question, double seconds,
+                        double queries_per_second) {
+  constexpr int kClients = 2;
   std::atomic<std::uint64_t> answered = 0;
-  std::array<std::vector<double>, askers> took;
+  std::array<std::vector<double>, kClients> latencies_us;
   const auto end =
       Clock::now() + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
   {
     std::vector<net::Thread> threads;
-    for (int a = 0; a < askers; ++a) {
+    for (int client = 0; client < kClients; ++client) {
       threads.emplace_back(
-          "asker",
-          [&, a] {
+          "dns-client",
+          [&, client] {
             const auto socket = net::bind_udp({"127.0.0.1", 0});
             std::array<std::uint8_t, 65535> buffer{};
-            auto next = Clock::now();
+            auto next_send = Clock::now();
             int outstanding = 0;
-            const int window = pace > 0 ? 1 : 16;
+            const int window = queries_per_second > 0 ? 1 : 16;
             while (Clock::now() < end) {
-              if (pace > 0) {
-                next +=
-                    std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(askers / pace));
-                while (Clock::now() < next) {
+              if (queries_per_second > 0) {
+                next_send += std::chrono::duration_cast<Clock::duration>(
+                    std::chrono::duration<double>(kClients / queries_per_second));
+                while (Clock::now() < next_send) {
                 }
               }
-              const auto begun = Clock::now();
+              const auto start = Clock::now();
               while (outstanding < window) net::send_to(socket, question, server), ++outstanding;
               if (net::receive_from(socket, buffer, net::Steady::now() + 100ms)) ++answered;
               outstanding = std::max(0, outstanding - 1);
-              if (pace > 0)
-                took[static_cast<std::size_t>(a)].push_back(
-                    std::chrono::duration<double, std::micro>(Clock::now() - begun).count());
+              if (queries_per_second > 0)
+                latencies_us[static_cast<std::size_t>(client)].push_back(
+                    std::chrono::duration<double, std::micro>(Clock::now() - start).count());
             }
           },
           1024 * 1024);
     }
   }
-  Load load;
-  load.per_second = static_cast<double>(answered) / seconds;
-  auto all = took[0];
-  all.insert(all.end(), took[1].begin(), took[1].end());
-  if (all.empty()) return load;
-  std::sort(all.begin(), all.end());
-  load.p50_us = all[all.size() / 2];
-  load.p99_us = all[all.size() * 99 / 100];
-  return load;
+  LoadResult result;
+  result.per_second = static_cast<double>(answered) / seconds;
+  auto sorted_us = latencies_us[0];
+  sorted_us.insert(sorted_us.end(), latencies_us[1].begin(), latencies_us[1].end());
+  if (sorted_us.empty()) return result;
+  std::sort(sorted_us.begin(), sorted_us.end());
+  result.p50_us = sorted_us[sorted_us.size() / 2];
+  result.p99_us = sorted_us[sorted_us.size() * 99 / 100];
+  return result;
 }
 
 }  // namespace
@@ -102,36 +109,38 @@
   config.dns.most_udp_bytes = 4096;
   const auto question =
       dns::write_question(7, "_sign-job._tcp.forwarder-1.proxies.farm.example.", dns::Type::srv, 4096);
-  for (const std::uint32_t lines : {8U, 40U, 200U}) {
-    Fixed core(lines);
-    dns::Responder responder(config, core);
+  for (const std::uint32_t entry_count : {8U, 40U, 200U}) {
+    FixedPullService pull_service(entry_count);
+    dns::Responder responder(config, pull_service);
     const auto answer = responder.answer(question, false).value();
     dns::Server server(config.dns, responder, 1, [](const std::string&) {});
     std::atomic<bool> stop = false;
-    const auto echo = net::bind_udp({"127.0.0.1", 0});
-    net::Thread echoing("echo", [&] {
+    const auto echo_socket = net::bind_udp({"127.0.0.1", 0});
+    net::Thread echo_thread("echo", [&] {
       std::array<std::uint8_t, 4096> buffer{};
       while (!stop) {
-        const auto got = net::receive_from(echo, buffer, net::Steady::now() + 100ms);
-        if (got) net::send_to(echo, answer, got->second);
+        const auto received = net::receive_from(echo_socket, buffer, net::Steady::now() + 100ms);
+        if (received) net::send_to(echo_socket, answer, received->second);
       }
     });
-    double best = 0, sum = 0;
-    constexpr int rounds = 3;
-    Load bare, served;
-    for (int n = 0; n < rounds; ++n) {
-      bare = ask(net::local_address(echo), question, seconds, 0);
-      served = ask(server.address(), question, seconds, 0);
-      best = std::max(best, served.per_second / bare.per_second);
-      sum += served.per_second / bare.per_second;
+    double best_ratio = 0, ratio_sum = 0;
+    constexpr int kRounds = 3;
+    LoadResult echo_load, dns_load;
+    for (int round = 0; round < kRounds; ++round) {
+      echo_load = measure_load(net::local_address(echo_socket), question, seconds, 0);
+      dns_load = measure_load(server.address(), question, seconds, 0);
+      best_ratio = std::max(best_ratio, dns_load.per_second / echo_load.per_second);
+      ratio_sum += dns_load.per_second / echo_load.per_second;
     }
-    const auto half = ask(server.address(), question, seconds, served.per_second / 2);
-    const auto half_bare = ask(net::local_address(echo), question, seconds, bare.per_second / 2);
+    const auto half_dns_load = measure_load(server.address(), question, seconds, dns_load.per_second / 2);
+    const auto half_echo_load =
+        measure_load(net::local_address(echo_socket), question, seconds, echo_load.per_second / 2);
     std::printf(
         "%3u lines, %4zu bytes%s: %7.0f answers/s, echo %7.0f/s, ratio mean %.2f best %.2f; at half load p50 "
         "%.0f us p99 %.0f us (echo p99 %.0f us)\n",
-        lines, answer.size(), (answer[2] & 2) ? " (truncated)" : "", served.per_second, bare.per_second,
-        sum / rounds, best, half.p50_us, half.p99_us, half_bare.p99_us);
+        entry_count, answer.size(), (answer[2] & 2) ? " (truncated)" : "", dns_load.per_second,
+        echo_load.per_second, ratio_sum / kRounds, best_ratio, half_dns_load.p50_us, half_dns_load.p99_us,
+        half_echo_load.p99_us);
     stop = true;
   }
 }
--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -1,5 +1,6 @@
-// On sockets: from a drain in the roll file to the last DNS answer that names the replica, with every proxy
-// asking over and over, whatever the lifetime.
+// Measures the time from a drain in the endpoint file to the last DNS answer that names the draining replica.
+// The service answers on sockets. Queries for each proxy are repeated without pause and ignore the TTL of the
+// answers.
 //
 //   bench_drain REPLICAS PROXIES [DRAINS]
 #include <spdlog/spdlog.h>
@@ -34,63 +35,66 @@
   config.roll.path = (folder / "roll.json").string();
   config.dns.answers_per_second = 1e9;
   config.dns.most_udp_bytes = 4096;
-  auto roll = bench::fleet_roll(replicas, config);
-  bench::write_roll(config.roll.path, roll);
+  auto endpoints = bench::fleet_endpoints(replicas, config);
+  bench::write_endpoint_file(config.roll.path, endpoints);
   control_plane::ControlPlaneServer service(config, std::make_shared<spdlog::logger>("none"));
 
-  // The newest moment at which an answer named the replica that drains now.
+  // Index of the replica that is draining; `replicas` before the first drain.
   std::atomic<std::size_t> draining = replicas;
+  // Time of the last answer that named the draining replica.
   std::atomic<Clock::rep> last_named = 0;
   std::atomic<std::uint64_t> answers = 0;
   std::atomic<bool> stop = false;
-  std::vector<net::Thread> askers;
-  constexpr std::size_t threads = 2;
-  for (std::size_t t = 0; t < threads; ++t) {
-    askers.emplace_back(
-        "asker",
-        [&, t] {
+  std::vector<net::Thread> clients;
+  constexpr std::size_t kThreads = 2;
+  for (std::size_t thread = 0; thread < kThreads; ++thread) {
+    clients.emplace_back(
+        "dns-client",
+        [&, thread] {
           const auto socket = net::bind_udp({"127.0.0.1", 0});
           std::array<std::uint8_t, 65535> buffer{};
           std::vector<dns::Bytes> questions;
-          for (std::size_t p = t; p < proxies; p += threads)
-            questions.push_back(
-                dns::write_question(1, "_sign-job._tcp.proxy-" + std::to_string(p) + ".proxies.farm.example.",
-                                    dns::Type::srv, 4096));
+          for (std::size_t proxy = thread; proxy < proxies; proxy += kThreads)
+            questions.push_back(dns::write_question(
+                1, "_sign-job._tcp.proxy-" + std::to_string(proxy) + ".proxies.farm.example.", dns::Type::srv,
+                4096));
           for (std::size_t n = 0; !stop; n = (n + 1) % questions.size()) {
             net::send_to(socket, questions[n], service.dns_address());
-            const auto got = net::receive_from(socket, buffer, Clock::now() + 100ms);
-            const auto at = Clock::now();
+            const auto received = net::receive_from(socket, buffer, Clock::now() + 100ms);
+            const auto received_at = Clock::now();
             ++answers;
-            const auto target = draining.load();
-            if (!got || target >= replicas) continue;
-            const std::string name = "unit-" + std::to_string(target);
+            const auto draining_index = draining.load();
+            if (!received || draining_index >= replicas) continue;
+            const std::string name = "unit-" + std::to_string(draining_index);
             const std::string label = static_cast<char>(name.size()) + name + "\x08replicas";
-            const std::string_view wire(reinterpret_cast<const char*>(buffer.data()), got->first);
-            if (wire.find(label) != std::string_view::npos) last_named = at.time_since_epoch().count();
+            const std::string_view wire(reinterpret_cast<const char*>(buffer.data()), received->first);
+            if (wire.find(label) != std::string_view::npos)
+              last_named = received_at.time_since_epoch().count();
           }
         },
         1024 * 1024);
   }
   std::this_thread::sleep_for(2s);
-  std::vector<double> took;  // milliseconds
+  std::vector<double> drain_times_ms;
   for (std::size_t n = 0; n < std::min(drains, replicas / 3); ++n) {
-    roll[n].draining = true;
+    endpoints[n].draining = true;
     draining = n;
-    const auto begun = Clock::now();
-    bench::write_roll(config.roll.path, roll);
+    const auto start = Clock::now();
+    bench::write_endpoint_file(config.roll.path, endpoints);
     std::this_thread::sleep_for(400ms);
-    const auto last = Clock::time_point(Clock::duration(last_named.load()));
-    took.push_back(std::max(0.0, std::chrono::duration<double, std::milli>(last - begun).count()));
+    const auto last_answer = Clock::time_point(Clock::duration(last_named.load()));
+    drain_times_ms.push_back(
+        std::max(0.0, std::chrono::duration<double, std::milli>(last_answer - start).count()));
   }
   stop = true;
-  askers.clear();
+  clients.clear();
   service.stop();
   std::filesystem::remove_all(folder);
-  std::sort(took.begin(), took.end());
+  std::sort(drain_times_ms.begin(), drain_times_ms.end());
   std::printf(
       "%zu replicas, %zu proxies, %zu drains, %llu answers: last answer that names the drained replica p50 "
       "%.1f ms, "
-      "most %.1f ms after the roll's change\n",
-      replicas, proxies, took.size(), static_cast<unsigned long long>(answers.load()), took[took.size() / 2],
-      took.back());
+      "max %.1f ms after the change of the endpoint file\n",
+      replicas, proxies, drain_times_ms.size(), static_cast<unsigned long long>(answers.load()),
+      drain_times_ms[drain_times_ms.size() / 2], drain_times_ms.back());
 }
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -1,4 +1,4 @@
-// A large fleet for measurements: a configuration, and a live governor that is driven without sockets.
+// Builds the configuration and the endpoint list of a large fleet for the benchmarks.
 #pragma once
 
 #include <filesystem>
@@ -12,45 +12,47 @@
 
 namespace ospreypost::bench {
 
-// From a text that says all of it, so that a record of such a fleet replays.
+// Parses the configuration from a complete text, so that a record that stores this text can be replayed.
 inline config::Config fleet_config(std::size_t proxies) {
-  std::string known;
-  for (std::size_t p = 0; p < proxies; ++p) {
-    known += "<proxy name=\"proxy-" + std::to_string(p) + "\" zone=\"" + (p % 2 == 0 ? "east" : "west") +
-             "\" usual-rate=\"10\" entry=\"127.0.0.1:7001\" vouched=\"true\"/>";
+  std::string proxy_elements;
+  for (std::size_t proxy = 0; proxy < proxies; ++proxy) {
+    proxy_elements += "<proxy name=\"proxy-" + std::to_string(proxy) + "\" zone=\"" +
+                      (proxy % 2 == 0 ? "east" : "west") +
+                      "\" usual-rate=\"10\" entry=\"127.0.0.1:7001\" vouched=\"true\"/>";
   }
   auto text = test::small_config_text();
   const auto begin = text.find("<proxy name"), end = text.find("</proxies>");
-  text = text.substr(0, begin) + known + text.substr(end);
+  text = text.substr(0, begin) + proxy_elements + text.substr(end);
   text = test::replace_first(text, "\"5000\" most-waiting=\"10000\"",
                              "\"" + std::to_string(50 * proxies + 1000) + "\" most-waiting=\"" +
                                  std::to_string(200 * proxies + 2000) + "\"");
   return config::parse_config(text, "fleet");
 }
 
-inline discovery::Endpoint backend(std::size_t n, const config::Config& config) {
-  discovery::Endpoint made;
-  made.name = "unit-" + std::to_string(n);
-  made.zone = config.zones[n % config.zones.size()];
-  made.cell = made.zone;
-  made.address = {"127.0.0." + std::to_string(1 + n % 250), static_cast<std::uint16_t>(9000 + n)};
-  return made;
+inline discovery::Endpoint make_endpoint(std::size_t n, const config::Config& config) {
+  discovery::Endpoint endpoint;
+  endpoint.name = "unit-" + std::to_string(n);
+  endpoint.zone = config.zones[n % config.zones.size()];
+  endpoint.cell = endpoint.zone;
+  endpoint.address = {"127.0.0." + std::to_string(1 + n % 250), static_cast<std::uint16_t>(9000 + n)};
+  return endpoint;
 }
 
-inline std::vector<discovery::Endpoint> fleet_roll(std::size_t replicas, const config::Config& config) {
-  std::vector<discovery::Endpoint> roll;
-  for (std::size_t n = 0; n < replicas; ++n) roll.push_back(backend(n, config));
-  return roll;
+inline std::vector<discovery::Endpoint> fleet_endpoints(std::size_t replicas, const config::Config& config) {
+  std::vector<discovery::Endpoint> endpoints;
+  for (std::size_t n = 0; n < replicas; ++n) endpoints.push_back(make_endpoint(n, config));
+  return endpoints;
 }
 
-// Beside, then renamed, as the pages ask of whoever writes it.
-inline void write_roll(const std::string& path, const std::vector<discovery::Endpoint>& roll) {
+// Writes a temporary file and renames it over `path`, so that a reader never sees a half-written endpoint
+// file.
+inline void write_endpoint_file(const std::string& path, const std::vector<discovery::Endpoint>& endpoints) {
   nlohmann::json backends = nlohmann::json::array();
-  for (const auto& backend : roll) {
-    backends.push_back({{"name", backend.name},
-                        {"zone", backend.zone},
-                        {"address", backend.address.text()},
-                        {"phase", backend.draining ? "draining" : "ready"}});
+  for (const auto& endpoint : endpoints) {
+    backends.push_back({{"name", endpoint.name},
+                        {"zone", endpoint.zone},
+                        {"address", endpoint.address.text()},
+                        {"phase", endpoint.draining ? "draining" : "ready"}});
   }
   std::ofstream(path + ".new") << nlohmann::json({{"backends", backends}}).dump();
   std::filesystem::rename(path + ".new", path);
--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -1,10 +1,11 @@
-// The live governor at size, without sockets: how long its lock is held for a call, what CPU it takes with a
-// sum a second from each proxy about each replica of its tables, how soon a drain shows in answers, and its
-// memory.
+// Measures a control plane instance of a large fleet without sockets: the time of each call, waiting for the
+// lock included; the CPU time with one load report per second from each proxy about each replica in the
+// routing table of that proxy; the time from a drain to routing tables without the replica; and the memory.
 //
 //   bench_governor REPLICAS PROXIES [SECONDS] [record]
 //
-// The record is left in ospreypost-bench-record of the temporary folder, for bench_records.
+// With `record`, the calls and actions are recorded. The record stays in the folder ospreypost-bench-record
+// of the system's temporary folder, as input for bench_records.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -26,12 +27,12 @@
 Nanos now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
 double cpu_seconds() {
-  rusage used{};
-  getrusage(RUSAGE_SELF, &used);
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
   const auto seconds = [](const timeval& time) {
     return static_cast<double>(time.tv_sec) + 1e-6 * static_cast<double>(time.tv_usec);
   };
-  return seconds(used.ru_utime) + seconds(used.ru_stime);
+  return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
 
 double resident_mib() {
@@ -41,60 +42,66 @@
   return resident * 4096 / 1048576;
 }
 
-double at(std::vector<double>& values, double share) {
+double quantile(std::vector<double>& values, double fraction) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
   return values[std::min(values.size() - 1,
-                         static_cast<std::size_t>(static_cast<double>(values.size()) * share))];
+                         static_cast<std::size_t>(static_cast<double>(values.size()) * fraction))];
 }
 
-struct Quiet : control_plane::ControlPlaneHost {
+struct IgnoringHost : control_plane::ControlPlaneHost {
   void request_health_check(ReplicaId, const net::Address&) override {}
   void refresh_endpoint_list() override {}
   void log(std::string_view, routing_state::SnapshotVersion) override {}
 };
 
-// The controller alone, with a handler that ignores its actions: what the same reports cost without routing
-// state, lock and snapshots.
-struct Deaf : ActionHandler {
+// Collects the timers that the controller starts and ignores its other actions.
+struct TimerCollector : ActionHandler {
   using ActionHandler::handle;
-  void handle(const StartTimer& action) override { due.emplace_back(at + action.delay, action.timer); }
-  Nanos at{};
-  std::vector<std::pair<Nanos, TimerId>> due;
+  void handle(const StartTimer& action) override {
+    started_timers.emplace_back(current_time + action.delay, action.timer);
+  }
+  Nanos current_time{};
+  std::vector<std::pair<Nanos, TimerId>> started_timers;
 };
 
-double bare_module_cpu(const config::Config& config, std::size_t replicas, std::size_t lines, int seconds) {
-  Deaf host;
-  Controller governor(config.settings, 1, host.at, host);
-  std::vector<EndpointUpdate> entries(replicas);
+// Returns the CPU seconds per second that the controller takes for the same load reports without routing
+// state, lock and snapshots.
+double controller_cpu(const config::Config& config, std::size_t replicas, std::size_t table_entries,
+                      int seconds) {
+  TimerCollector handler;
+  Controller controller(config.settings, 1, handler.current_time, handler);
+  std::vector<EndpointUpdate> updates(replicas);
   for (std::size_t n = 0; n < replicas; ++n) {
-    entries[n].replica = ReplicaId{static_cast<std::uint32_t>(n)};
-    entries[n].zone = ZoneId{static_cast<std::uint16_t>(n % config.settings.zones)};
+    updates[n].replica = ReplicaId{static_cast<std::uint32_t>(n)};
+    updates[n].zone = ZoneId{static_cast<std::uint16_t>(n % config.settings.zones)};
   }
-  governor.on_endpoint_list(host.at, EndpointListKind::cached, entries);
+  controller.on_endpoint_list(handler.current_time, EndpointListKind::cached, updates);
   const auto proxies = config.proxies.known.size();
-  for (std::size_t p = 0; p < proxies; ++p)
-    governor.on_proxy_joined(host.at, ProxyId{static_cast<std::uint16_t>(p)}, config.proxies.known[p].zone,
-                             10, true);
-  const double cpu = cpu_seconds();
+  for (std::size_t proxy = 0; proxy < proxies; ++proxy)
+    controller.on_proxy_joined(handler.current_time, ProxyId{static_cast<std::uint16_t>(proxy)},
+                               config.proxies.known[proxy].zone, 10, true);
+  const double cpu_start = cpu_seconds();
   for (int second = 0; second < seconds; ++second) {
-    for (std::size_t p = 0; p < proxies; ++p) {
-      host.at =
-          second * Nanos(1s) + Nanos(1s) * static_cast<Nanos::rep>(p) / static_cast<Nanos::rep>(proxies);
-      while (!host.due.empty() && host.due.front().first <= host.at) {
-        const auto timer = host.due.front().second;
-        host.due.erase(host.due.begin());
-        governor.on_timer(host.at, timer);
+    for (std::size_t proxy = 0; proxy < proxies; ++proxy) {
+      handler.current_time =
+          second * Nanos(1s) + Nanos(1s) * static_cast<Nanos::rep>(proxy) / static_cast<Nanos::rep>(proxies);
+      while (!handler.started_timers.empty() &&
+             handler.started_timers.front().first <= handler.current_time) {
+        const auto timer = handler.started_timers.front().second;
+        handler.started_timers.erase(handler.started_timers.begin());
+        controller.on_timer(handler.current_time, timer);
       }
-      for (std::size_t n = 0; n < lines; ++n) {
-        const ReplicaId replica{static_cast<std::uint32_t>((p + n) % replicas)};
-        governor.on_replica_load_report(host.at,
-                                        {config.proxies.known[p].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
+      for (std::size_t n = 0; n < table_entries; ++n) {
+        const ReplicaId replica{static_cast<std::uint32_t>((proxy + n) % replicas)};
+        controller.on_replica_load_report(
+            handler.current_time, {config.proxies.known[proxy].zone, replica, 2, 0, 50ms, 1s, {0.5F}});
       }
-      governor.on_demand_report(host.at, ProxyId{static_cast<std::uint16_t>(p)}, {ClassId{0}, 10, 0, 1s});
+      controller.on_demand_report(handler.current_time, ProxyId{static_cast<std::uint16_t>(proxy)},
+                                  {ClassId{0}, 10, 0, 1s});
     }
   }
-  return (cpu_seconds() - cpu) / seconds;
+  return (cpu_seconds() - cpu_start) / seconds;
 }
 
 }  // namespace
@@ -104,100 +111,106 @@
   const std::size_t proxies = argc > 2 ? std::strtoul(argv[2], nullptr, 10) : 220;
   const double seconds = argc > 3 ? std::atof(argv[3]) : 10;
   const auto config = bench::fleet_config(proxies);
-  Quiet world;
-  // With "record", all that is told and ordered is kept, as `serve` does.
+  IgnoringHost host;
   std::unique_ptr<record::Writer> record;
   const auto folder = std::filesystem::temp_directory_path() / "ospreypost-bench-record";
   std::filesystem::remove_all(folder);
   if (argc > 4) record = std::make_unique<record::Writer>(record::RetentionPolicy{folder.string()});
-  control_plane::ControlPlane live(config, world, now, {1, "bench"}, record.get());
-  discovery::EndpointList roll;
-  auto listed = bench::fleet_roll(replicas, config);
-  const auto wall = [] { return discovery::WallTime(now()); };
-  live.on_endpoint_list_changed(roll.update(now(), wall(), listed));
-  std::vector<double> calls;  // microseconds
-  const auto timed = [&](auto call) {
-    const auto begun = now();
+  control_plane::ControlPlane instance(config, host, now, {1, "bench"}, record.get());
+  discovery::EndpointList endpoint_list;
+  auto endpoints = bench::fleet_endpoints(replicas, config);
+  const auto wall_time = [] { return discovery::WallTime(now()); };
+  instance.on_endpoint_list_changed(endpoint_list.update(now(), wall_time(), endpoints));
+  std::vector<double> call_times_us;
+  const auto measure_call = [&](auto call) {
+    const auto start = now();
     call();
-    calls.push_back(std::chrono::duration<double, std::micro>(now() - begun).count());
+    call_times_us.push_back(std::chrono::duration<double, std::micro>(now() - start).count());
   };
-  const auto asked = [&](std::size_t p) {
-    return live.on_query(ProxyId{static_cast<std::uint16_t>(p)}, ClassId{0});
+  const auto query = [&](std::size_t proxy) {
+    return instance.on_query(ProxyId{static_cast<std::uint16_t>(proxy)}, ClassId{0});
   };
-  const auto begun_joining = now();
-  for (std::size_t p = 0; p < proxies; ++p) asked(p);
+  const auto join_start = now();
+  for (std::size_t proxy = 0; proxy < proxies; ++proxy) query(proxy);
   std::printf("%zu replicas, %zu proxies: all joined within %.3f s\n", replicas, proxies,
-              std::chrono::duration<double>(now() - begun_joining).count());
+              std::chrono::duration<double>(now() - join_start).count());
 
-  // A sum from each proxy about each line of its table, and its demand, each second, spread over it.
-  std::mt19937 chance(1);
-  const auto begun = now();
-  const double cpu = cpu_seconds();
-  std::size_t sums = 0, lines = 0;
-  std::vector<double> shown;  // milliseconds
-  std::size_t drained = 0;
+  // Each second, each proxy sends a load report about each entry of its routing table, and a demand report.
+  // The proxies send at times that are spread evenly over the second.
+  std::mt19937 random_engine(1);
+  const auto start = now();
+  const double cpu_start = cpu_seconds();
+  std::size_t report_count = 0, table_entries = 0;
+  std::vector<double> drain_times_ms;
+  std::size_t drained_count = 0;
   for (int second = 0; second < static_cast<int>(seconds); ++second) {
-    for (std::size_t p = 0; p < proxies; ++p) {
-      const auto due = begun + second * Nanos(1s) +
-                       Nanos(1s) * static_cast<Nanos::rep>(p) / static_cast<Nanos::rep>(proxies);
-      while (now() < due) {
-        const timespec wait{0, std::min<long>(1'000'000, std::max<long>(1, (due - now()).count()))};
+    for (std::size_t proxy = 0; proxy < proxies; ++proxy) {
+      const auto due_time = start + second * Nanos(1s) +
+                            Nanos(1s) * static_cast<Nanos::rep>(proxy) / static_cast<Nanos::rep>(proxies);
+      while (now() < due_time) {
+        const timespec wait{0, std::min<long>(1'000'000, std::max<long>(1, (due_time - now()).count()))};
         nanosleep(&wait, nullptr);
       }
-      const auto told = asked(p);
-      const ProxyId id{static_cast<std::uint16_t>(p)};
-      live.on_report(id);
-      if (told.proxy_snapshot && told.proxy_snapshot->routing_tables[0]) {
-        lines = std::max(lines, told.proxy_snapshot->routing_tables[0]->entries.size());
-        for (const auto& line : told.proxy_snapshot->routing_tables[0]->entries) {
-          ReplicaLoadReport sum{config.proxies.known[p].zone,
-                                line.replica,
-                                static_cast<std::uint32_t>(1 + chance() % 3),
-                                0,
-                                50ms,
-                                1s,
-                                {0.5F}};
-          timed([&] { live.on_replica_load_report(sum, {id, {}}); });
-          ++sums;
+      const auto pull_answer = query(proxy);
+      const ProxyId id{static_cast<std::uint16_t>(proxy)};
+      instance.on_report(id);
+      if (pull_answer.proxy_snapshot && pull_answer.proxy_snapshot->routing_tables[0]) {
+        table_entries =
+            std::max(table_entries, pull_answer.proxy_snapshot->routing_tables[0]->entries.size());
+        for (const auto& entry : pull_answer.proxy_snapshot->routing_tables[0]->entries) {
+          ReplicaLoadReport report{config.proxies.known[proxy].zone,
+                                   entry.replica,
+                                   static_cast<std::uint32_t>(1 + random_engine() % 3),
+                                   0,
+                                   50ms,
+                                   1s,
+                                   {0.5F}};
+          measure_call([&] { instance.on_replica_load_report(report, {id, {}}); });
+          ++report_count;
         }
       }
-      timed([&] { live.on_demand_report({ClassId{0}, 10, 0, 1s}, {id, {}}); });
+      measure_call([&] { instance.on_demand_report({ClassId{0}, 10, 0, 1s}, {id, {}}); });
     }
-    // One replica drains each second: when can no answer name it any more?
-    auto draining = listed;
-    draining[drained].draining = true;
-    const auto told_at = now();
-    timed([&] { live.on_endpoint_list_changed(roll.update(told_at, wall(), draining)); });
-    listed = draining;
-    const ReplicaId gone{*live.find_replica(listed[drained].name)};
-    drained = std::min(drained + 1, replicas / 3);
-    bool named = true;
-    while (named && now() - told_at < 2s) {
-      named = false;
-      const auto version = live.status().snapshot;
+    // Each second, one replica starts to drain; measures the time until no routing table names that replica.
+    auto changed_endpoints = endpoints;
+    changed_endpoints[drained_count].draining = true;
+    const auto drain_time = now();
+    measure_call([&] {
+      instance.on_endpoint_list_changed(endpoint_list.update(drain_time, wall_time(), changed_endpoints));
+    });
+    endpoints = changed_endpoints;
+    const ReplicaId drained_replica{*instance.find_replica(endpoints[drained_count].name)};
+    drained_count = std::min(drained_count + 1, replicas / 3);
+    bool is_named = true;
+    while (is_named && now() - drain_time < 2s) {
+      is_named = false;
+      const auto version = instance.status().snapshot;
       for (const auto& [proxy, proxy_snapshot] : version->proxy_snapshots) {
-        for (const auto& line : proxy_snapshot->routing_tables[0]->entries)
-          named = named || line.replica == gone;
+        for (const auto& entry : proxy_snapshot->routing_tables[0]->entries)
+          is_named = is_named || entry.replica == drained_replica;
       }
     }
-    shown.push_back(std::chrono::duration<double, std::milli>(now() - told_at).count());
+    drain_times_ms.push_back(std::chrono::duration<double, std::milli>(now() - drain_time).count());
   }
-  const double used = cpu_seconds() - cpu;
-  const double wall_took = std::chrono::duration<double>(now() - begun).count();
+  const double cpu_used = cpu_seconds() - cpu_start;
+  const double elapsed_seconds = std::chrono::duration<double>(now() - start).count();
   std::printf(
-      "%zu sums, tables of up to %zu lines; a call, waiting for the lock included: p50 %.1f us, p99 %.1f us, "
-      "most %.0f us\n",
-      sums, lines, at(calls, 0.5), at(calls, 0.99), at(calls, 1));
-  const double bare = bare_module_cpu(config, replicas, lines, static_cast<int>(seconds));
-  std::printf("the module alone, at as many sums: CPU %.3f of a core\n", bare);
+      "%zu reports, tables of up to %zu entries; a call, waiting for the lock included: p50 %.1f us, p99 "
+      "%.1f us, "
+      "max %.0f us\n",
+      report_count, table_entries, quantile(call_times_us, 0.5), quantile(call_times_us, 0.99),
+      quantile(call_times_us, 1));
+  const double controller_only = controller_cpu(config, replicas, table_entries, static_cast<int>(seconds));
+  std::printf("the controller alone, at the same number of load reports per second: CPU %.3f of a core\n",
+              controller_only);
   std::printf(
       "CPU %.3f of a core (this driver included); from a drain in the list to no table that names it: p50 "
-      "%.2f ms, most "
-      "%.2f ms; resident %.0f MiB; lines waiting at most %.0f of %.0f\n",
-      used / wall_took, at(shown, 0.5), at(shown, 1), resident_mib(),
-      live.status().pull_counts.max_queued_entries, config.settings.channel_max_queued_entries);
+      "%.2f ms, max "
+      "%.2f ms; resident %.0f MiB; queued entries at most %.0f of %.0f\n",
+      cpu_used / elapsed_seconds, quantile(drain_times_ms, 0.5), quantile(drain_times_ms, 1), resident_mib(),
+      instance.status().pull_counts.max_queued_entries, config.settings.channel_max_queued_entries);
   if (record) {
-    live.stop();
+    instance.stop();
     record->stop();
     const auto counts = record->counts();
     std::printf("recorded %llu calls in %llu bytes, %llu lost\n",
--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -1,5 +1,6 @@
-// What a record costs to read: how many times faster than it was lived it replays and is played on a model,
-// what a sum takes on disk beside plainer forms, and a look into its middle beside reading all of it.
+// Measures the reading of a record: the speed of the exact replay and of a simulated day, as multiples of the
+// recorded time; the bytes on disk per report, compared with uncompressed blocks and JSON lines; and the time
+// to read 200 ms from the middle by block headers, compared with reading the whole record.
 //
 //   bench_records RECORD...
 #include <algorithm>
@@ -22,17 +23,17 @@
 
 template <typename Work>
 double seconds_of(Work work) {
-  const auto begun = net::Steady::now();
+  const auto start = net::Steady::now();
   work();
-  return std::chrono::duration<double>(net::Steady::now() - begun).count();
+  return std::chrono::duration<double>(net::Steady::now() - start).count();
 }
 
-// The least of three: what else the machine does only adds.
+// Returns the shortest of three runs: other load on the machine only makes a run longer.
 template <typename Work>
-double least_seconds_of(Work work) {
-  double least = seconds_of(work);
-  for (int n = 0; n < 2; ++n) least = std::min(least, seconds_of(work));
-  return least;
+double min_seconds_of(Work work) {
+  double shortest = seconds_of(work);
+  for (int n = 0; n < 2; ++n) shortest = std::min(shortest, seconds_of(work));
+  return shortest;
 }
 
 }  // namespace
@@ -44,60 +45,67 @@
   }
   const auto files = record::list_files({argv + 1, argv + argc});
   const auto contents = record::summarize(files);
-  std::uint64_t bytes = 0, unpacked = 0, sums = 0, json = 0;
-  for (const auto& file : contents.files) bytes += file.bytes, unpacked += file.unpacked_bytes;
-  for (const char* call : {"replica_summed", "demand_summed"}) {
-    const auto known = contents.events.find(call);
-    sums += known == contents.events.end() ? 0 : known->second;
+  std::uint64_t bytes = 0, unpacked_bytes = 0, reports = 0, json_bytes = 0;
+  for (const auto& file : contents.files) bytes += file.bytes, unpacked_bytes += file.unpacked_bytes;
+  for (const char* event : {"replica_summed", "demand_summed"}) {
+    const auto event_found = contents.events.find(event);
+    reports += event_found == contents.events.end() ? 0 : event_found->second;
   }
-  record::dump(files, {}, true, [&](Nanos, const std::string& line) { json += line.size() + 1; });
+  record::dump(files, {}, true, [&](Nanos, const std::string& line) { json_bytes += line.size() + 1; });
 
   replay::Options options;
   options.load_config = [](const std::string& text) {
     const auto config = config::parse_config(text, "recorded");
     return replay::ControllerConfig{config::module_settings(config), config.seed};
   };
-  replay::ReplayResult outcome;
-  const double replaying = least_seconds_of([&] { outcome = replay::replay(files, options); });
-  const double lived = std::chrono::duration<double>(outcome.to - outcome.from).count();
-  std::printf("%.1f s lived, %llu calls, %llu sums; the same orders: %s\n", lived,
-              static_cast<unsigned long long>(outcome.events), static_cast<unsigned long long>(sums),
-              outcome.is_identical() ? "yes" : "no");
-  std::printf("exact replay: %.0f times as fast as lived\n", lived / replaying);
+  replay::ReplayResult result;
+  const double replay_seconds = min_seconds_of([&] { result = replay::replay(files, options); });
+  const double recorded_seconds = std::chrono::duration<double>(result.to - result.from).count();
+  std::printf("%.1f s recorded, %llu calls, %llu reports; the same actions: %s\n", recorded_seconds,
+              static_cast<unsigned long long>(result.events), static_cast<unsigned long long>(reports),
+              result.is_identical() ? "yes" : "no");
+  std::printf("exact replay: %.0f times as fast as recorded\n", recorded_seconds / replay_seconds);
 
-  const auto per_hour = [&](std::uint64_t of) { return static_cast<double>(of) / lived * 3600 / 1048576; };
-  std::printf("bytes: %.1f MiB an hour, %.1f a sum; not packed %.1f times as many, JSON lines %.1f times\n",
-              per_hour(bytes),
-              static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, sums)),
-              static_cast<double>(unpacked) / static_cast<double>(bytes),
-              static_cast<double>(json) / static_cast<double>(bytes));
+  const auto per_hour = [&](std::uint64_t byte_count) {
+    return static_cast<double>(byte_count) / recorded_seconds * 3600 / 1048576;
+  };
+  std::printf(
+      "bytes: %.1f MiB per hour, %.1f per report; uncompressed %.1f times as many, JSON lines %.1f times\n",
+      per_hour(bytes), static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, reports)),
+      static_cast<double>(unpacked_bytes) / static_cast<double>(bytes),
+      static_cast<double>(json_bytes) / static_cast<double>(bytes));
 
-  const Nanos middle = (outcome.to - outcome.from) / 2;
-  std::size_t found = 0;
-  const double seeking = least_seconds_of([&] {
-    found = 0;
+  const Nanos middle = (result.to - result.from) / 2;
+  std::size_t entries_found = 0;
+  const double seek_seconds = min_seconds_of([&] {
+    entries_found = 0;
     record::dump(files, {middle, middle + std::chrono::milliseconds(200)}, false,
-                 [&](Nanos, const std::string&) { ++found; });
+                 [&](Nanos, const std::string&) { ++entries_found; });
   });
-  const double scanning = least_seconds_of([&] {
-    std::size_t same = 0;
-    record::dump(files, {}, false, [&](Nanos at, const std::string&) {
-      same += at >= middle && at <= middle + std::chrono::milliseconds(200);
+  const double scan_seconds = min_seconds_of([&] {
+    std::size_t entries_scanned = 0;
+    record::dump(files, {}, false, [&](Nanos entry_time, const std::string&) {
+      entries_scanned += entry_time >= middle && entry_time <= middle + std::chrono::milliseconds(200);
     });
-    if (same != found) std::printf("the scan found %zu entries, the seek %zu\n", same, found);
+    if (entries_scanned != entries_found)
+      std::printf("the read of the whole record found %zu entries, the read by block headers %zu\n",
+                  entries_scanned, entries_found);
   });
-  std::printf("200 ms from the middle (%zu entries): %.1f times as fast by heads as by reading all\n", found,
-              scanning / seeking);
+  std::printf(
+      "200 ms from the middle (%zu entries): %.1f times as fast by block headers as by reading the whole "
+      "record\n",
+      entries_found, scan_seconds / seek_seconds);
 
   const auto history = replay::read_history(files);
   const auto deployment = terms::deployment_of(config::parse_config(history.configuration, "recorded"));
   simulation::Fleet fleet;
-  const double fitting =
+  const double fit_seconds =
       seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assume::middle); });
   simulation::PlayedDay day;
-  const double playing = seconds_of([&] { day = simulation::play(history, deployment, fleet, 1); });
-  std::printf("the model: fitted in %.2f s; a day played %.0f times as fast as lived\n", fitting,
-              lived / playing);
+  const double simulation_seconds =
+      seconds_of([&] { day = simulation::play(history, deployment, fleet, 1); });
+  std::printf("the model: fitted in %.2f s; a day simulated %.0f times as fast as recorded\n", fit_seconds,
+              recorded_seconds / simulation_seconds);
   return 0;
 } catch (const std::exception& error) {
   std::fprintf(stderr, "bench_records: %s\n", error.what());
--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,4 +1,4 @@
-// Configurations and days as anybody may write them.
+// Parses arbitrary bytes as a configuration and as a scenario; both parsers may only fail with ConfigError.
 #include "program/support.h"
 #include "scenario/scenario.h"
 
--- a/fuzz/discovery_update.cpp
+++ b/fuzz/discovery_update.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists as discovery may send them, one after the other.
+// Applies a sequence of endpoint list updates from discovery, one per line, to an endpoint registry.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -20,7 +20,7 @@
       const auto changes = registry.apply(update);
       if (changes.updates.size() + changes.rejected > update.entries.size()) std::abort();
     } catch (const net::Error&) {
-      // A list that cannot be read changes nothing.
+      // An update that cannot be parsed leaves the registry unchanged.
     }
     text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
   }
--- a/fuzz/endpoint_file.cpp
+++ b/fuzz/endpoint_file.cpp
@@ -1,4 +1,5 @@
-// Endpoint files as a broken writer may leave them.
+// Parses arbitrary bytes as an endpoint file, such as a faulty writer may leave, and updates an endpoint
+// list.
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
--- a/fuzz/generation.cpp
+++ b/fuzz/generation.cpp
@@ -1,4 +1,6 @@
-// Generations as anybody may put them to a receiver: what is taken fits its checksum and stays in its folder.
+// Reads arbitrary bytes as a generation of table files that a client sends to a receiver. The names of the
+// files in an accepted generation must stay inside the folder, and writing and reading it again must keep its
+// stamp.
 #include <cstdlib>
 
 #include "files/receiver.h"
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -1,5 +1,5 @@
-// Entries as a forged record may hold them: read as a history, fitted and played, whatever they say. Taken as
-// the bytes of a Block, or as its text.
+// Reads the entries of a forged record as a history, fits the model to the history and simulates the history.
+// The input is a Block, as protobuf bytes or in protobuf text format.
 #include "replay/history.h"
 
 #include <google/protobuf/text_format.h>
@@ -19,7 +19,7 @@
 
 using namespace ospreypost;
 
-// What a fuzzer may spend on one input.
+// Largest history that is simulated, which limits the time per input.
 constexpr std::uint64_t kMaxPlayedRequests = 3000;
 constexpr Nanos kMaxPlayedLength = std::chrono::minutes(2);
 
@@ -43,7 +43,7 @@
 bool is_small(const simulation::History& history) {
   std::uint64_t requests = 0;
   for (const auto& report : history.reports) {
-    for (const auto& asked : report.asked) requests += asked.operations;
+    for (const auto& demand : report.asked) requests += demand.operations;
   }
   return requests <= kMaxPlayedRequests && history.length <= kMaxPlayedLength;
 }
@@ -52,7 +52,7 @@
   static const auto deployment = terms::deployment_of(config);
   const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
   for (const auto& replica : fleet.replicas) {
-    // So written that NaN fails too.
+    // The comparisons are false for NaN, so that a NaN aborts too.
     const bool is_sound = replica.cores >= 1 && replica.slowness > 0;
     if (!is_sound) std::abort();
   }
@@ -64,17 +64,17 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   static const auto config = test::small_config();
-  // The parser reports each text that it cannot read.
+  // Turns off the log of protobuf, whose parser logs each text that the parser cannot read.
   static auto* const default_log_handler = google::protobuf::SetLogHandler(nullptr);
   static_cast<void>(default_log_handler);
   const auto block = parse_block(std::string(reinterpret_cast<const char*>(data), size));
   if (!block) return 0;
-  // Whatever the entries say, reading them throws nothing.
+  // Reading must not throw for any entries.
   replay::HistoryReader reader = read_after_start(*block, config.text);
   try {
     fit_export_and_play(reader.finish({}), config);
   } catch (const std::invalid_argument&) {
-    // What cannot be modelled is said plainly.
+    // The model rejects a history that cannot be fitted or simulated with this exception.
   } catch (const std::out_of_range&) {
     std::abort();
   }
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,4 +1,5 @@
-/// Configurations of the platform, and the lists that they hold.
+/// Parses arbitrary bytes as a platform configuration. An error message must start with the name of the
+/// input.
 #include "platform/platform_config.h"
 
 #include <cstddef>
--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -1,4 +1,5 @@
-/// What anybody may send to the platform's address, in pieces of any size.
+/// Reads arbitrary bytes as a peer's stream to the platform's address, in pieces of any size, and as a load
+/// report.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -19,7 +20,7 @@
   if (!holds) std::abort();
 }
 
-// Fails where a message passed the checks that must not have.
+// Aborts if the parser lets a message with an invalid value through.
 struct CheckingHandler : platform::MessageHandler {
   void on_liveness_request() override {}
   void on_proxy_hello(ProxyId proxy, ZoneId zone, double requests_per_second, bool) override {
@@ -55,7 +56,7 @@
     try {
       platform::parse_message(*words, names, sender, handler);
     } catch (const platform::MessageError&) {
-      continue;  // the messages around it stand
+      continue;  // an invalid message does not invalidate the messages before and after it
     }
   }
 }
@@ -70,7 +71,7 @@
       require(reader.buffered_bytes() <= kLimits.max_bytes + piece_bytes + kLimits.max_words);
     }
   } catch (const resp::ProtocolError&) {
-    return;  // nothing after it can be read
+    return;  // after a protocol error, the rest of the stream cannot be read
   }
 }
 
@@ -78,7 +79,7 @@
   try {
     platform::parse_load_report(bytes, names.load_columns);
   } catch (const platform::MessageError&) {
-    return;  // rejected, as most are
+    return;  // most inputs are no valid load report and are rejected
   }
 }
 
@@ -86,7 +87,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
-  // The first byte chooses the sender and the size of the pieces.
+  // The first byte of the input chooses the role of the sender and the size of the pieces.
   const auto role = static_cast<platform::PeerRole>(data[0] % 3);
   const std::size_t piece_bytes = 1 + data[0] / 3;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -1,5 +1,5 @@
-// Records as a disk may give them back: reading ends whatever they hold, and an intact block is found in
-// them.
+// Reads arbitrary bytes as a record, such as a faulty disk may return. Reading must end for any content, and
+// an intact block after arbitrary bytes must be found.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -20,11 +20,12 @@
       entries.ParseFromString(block->payload);
     }
   } catch (const net::Error&) {
-    // No record, which is said plainly.
+    // The reader rejects a file that is no record with this error.
   }
 }
 
-// A block with this payload, after a file header and the same bytes, is read back whole.
+// Writes a file header, the bytes of the payload, and a block with the payload.
+// Returns whether the reader finds the block with its whole payload behind the other bytes.
 bool is_found_after_itself(const std::string& payload) {
   const record::BlockHeader header{1, 2, Nanos(3), Nanos(4)};
   const std::string file = record::encode_file_header() + payload + record::encode_block(header, payload);
--- a/fuzz/tables.cpp
+++ b/fuzz/tables.cpp
@@ -1,4 +1,5 @@
-// Both readers of table files, as a proxy would meet whatever lies there.
+// Reads arbitrary bytes as a table file in both formats, Envoy and upstream. A failed read must yield no
+// targets.
 #include "fakes/tables.h"
 
 #include <cstdlib>
