--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -1,6 +1,6 @@
 // Measures the DNS answers per second for routing tables of 8, 40 and 200 entries. The rate is compared with
-// a UDP echo of messages of the same sizes in the same run; DNS server and echo have one thread each. Also
-// measures the latency of DNS answers and of echoes, each at half of the rate measured at full load.
+// a UDP echo of messages of the same sizes in the same run; DNS server and echo have one thread each. The
+// benchmark also measures the latency of both at half of the rate that each has reached.
 //
 //   bench_dns [SECONDS]
 #include <algorithm>
--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -1,6 +1,6 @@
 // Measures the time from a drain in the endpoint file to the last DNS answer that names the draining replica.
-// The service answers on sockets. Queries for each proxy are repeated without pause and ignore the TTL of the
-// answers.
+// The service runs on real sockets. Two threads repeat the queries of all proxies without pause and ignore
+// the TTL of the answers.
 //
 //   bench_drain REPLICAS PROXIES [DRAINS]
 #include <spdlog/spdlog.h>
--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -12,7 +12,7 @@
 
 namespace ospreypost::bench {
 
-// Parses the configuration from a complete text, so that a record that stores this text can be replayed.
+// Parses a configuration text that contains all settings, so that a record with this text can be replayed.
 inline config::Config fleet_config(std::size_t proxies) {
   std::string proxy_elements;
   for (std::size_t proxy = 0; proxy < proxies; ++proxy) {
@@ -44,8 +44,7 @@
   return endpoints;
 }
 
-// Writes a temporary file and renames it over `path`, so that a reader never sees a half-written endpoint
-// file.
+// Writes a temporary file and renames it over `path`, so that readers never see a half-written file.
 inline void write_endpoint_file(const std::string& path, const std::vector<discovery::Endpoint>& endpoints) {
   nlohmann::json backends = nlohmann::json::array();
   for (const auto& endpoint : endpoints) {
--- a/bench/governor.cpp
+++ b/bench/governor.cpp
@@ -1,6 +1,7 @@
-// Measures a control plane instance of a large fleet without sockets: the time of each call, waiting for the
-// lock included; the CPU time with one load report per second from each proxy about each replica in the
-// routing table of that proxy; the time from a drain to routing tables without the replica; and the memory.
+// Measures a control plane instance with a large fleet and without sockets. Each proxy sends one load report
+// per second about each replica in the routing table of that proxy. The benchmark measures the duration of
+// the calls (waiting for the lock included), the CPU time, the time from a drain in the endpoint list until
+// no routing table names the draining replica, and the resident memory.
 //
 //   bench_governor REPLICAS PROXIES [SECONDS] [record]
 //
@@ -55,7 +56,7 @@
   void log(std::string_view, routing_state::SnapshotVersion) override {}
 };
 
-// Collects the timers that the controller starts and ignores its other actions.
+// Action handler that collects the timers that the controller starts and ignores all other actions.
 struct TimerCollector : ActionHandler {
   using ActionHandler::handle;
   void handle(const StartTimer& action) override {
@@ -65,8 +66,8 @@
   std::vector<std::pair<Nanos, TimerId>> started_timers;
 };
 
-// Returns the CPU seconds per second that the controller takes for the same load reports without routing
-// state, lock and snapshots.
+// Returns the CPU seconds per second that the controller takes for the same load reports when it runs without
+// routing state, lock and snapshots.
 double controller_cpu(const config::Config& config, std::size_t replicas, std::size_t table_entries,
                       int seconds) {
   TimerCollector handler;
@@ -136,7 +137,7 @@
               std::chrono::duration<double>(now() - join_start).count());
 
   // Each second, each proxy sends a load report about each entry of its routing table, and a demand report.
-  // The proxies send at times that are spread evenly over the second.
+  // The reports of different proxies are spread evenly over the second.
   std::mt19937 random_engine(1);
   const auto start = now();
   const double cpu_start = cpu_seconds();
--- a/bench/push.cpp
+++ b/bench/push.cpp
@@ -1,8 +1,8 @@
 // Measures the time from a drain in the endpoint file until proxies have tables without the draining replica.
-// Half of the proxies read generations of table files from a folder; a proxy of this half is done when its
-// folder is switched to a generation without the replica. The other half sends DNS queries without pause and
-// is done at the first answer without the replica. Also counts the entries and bytes of the written
-// generations, the entries that differ from the generation before, and the CPU time of the service.
+// Half of the proxies read generations of table files from a folder: the time ends when the folder is
+// switched to a generation without the replica. The other proxies send DNS queries without pause: the time
+// ends at the first answer without the replica. The benchmark also counts the entries and bytes of the
+// written generations, the entries that differ between generations, and the CPU time of the service.
 //
 //   bench_push REPLICAS PROXIES [DRAINS] [slow]
 //
@@ -38,14 +38,14 @@
   };
   return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
-// Returns the CPU time of the process without the calling thread, which only measures.
+// Returns the CPU time of the process without that of the calling thread, which only measures.
 double service_cpu_seconds() { return cpu_seconds(RUSAGE_SELF) - cpu_seconds(RUSAGE_THREAD); }
 
 double milliseconds(Clock::duration time) { return std::chrono::duration<double, std::milli>(time).count(); }
 
 void print_times(const char* label, std::vector<double> times_ms) {
-  // Drops times below 1 ms: they belong to proxies that did not have the replica in their tables, are done
-  // at once and would lower the figures.
+  // Drops times below 1 ms. Such times come from proxies whose tables did not contain the replica: these
+  // proxies are done at once, and their times would lower the reported figures.
   std::erase_if(times_ms, [](double ms) { return ms < 1; });
   std::sort(times_ms.begin(), times_ms.end());
   if (times_ms.empty()) return;
@@ -127,7 +127,7 @@
     return std::find(replica_names.begin(), replica_names.end(), replica) != replica_names.end();
   };
   // Reads the folder of a proxy if its link has changed. Returns true if the folder has a new generation that
-  // does not name the replica; with an empty name, if the folder has a new generation.
+  // does not name the replica. With an empty replica name, any new generation is enough.
   const auto has_swapped = [&](std::size_t proxy, const std::string& drained_replica) {
     const std::filesystem::path folder = config.proxies.known[proxy].folder;
     std::error_code error;
@@ -140,9 +140,9 @@
     current_generations[proxy] = *found;
     return drained_replica.empty() || !generation_names(proxy, drained_replica);
   };
-  // Waits until no proxy names the replica any more, at most 20 s. Returns the time in milliseconds of each
-  // proxy that named the replica before: proxies with folders first, then proxies on DNS.
-  // With an empty name, waits until each folder has a new generation.
+  // Waits at most 20 s until no table of any proxy contains the replica. Returns the times in milliseconds of
+  // the proxies with folders and of the proxies on DNS, without the folders that did not name the replica.
+  // With an empty replica name, waits until each folder has a new generation.
   const auto wait_for_all = [&](const std::string& drained_replica) {
     std::array<std::vector<double>, 2> times_ms;
     const auto start = Clock::now();
--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -1,6 +1,7 @@
-// Measures the reading of a record: the speed of the exact replay and of a simulated day, as multiples of the
-// recorded time; the bytes on disk per report, compared with uncompressed blocks and JSON lines; and the time
-// to read 200 ms from the middle by block headers, compared with reading the whole record.
+// Measures the cost of reading a record. The speed of the exact replay and of the simulation is printed as a
+// multiple of real time. The size on disk per report is compared with uncompressed blocks and with JSON
+// lines. The time to find 200 ms in the middle by block headers is compared with the time to read the whole
+// record.
 //
 //   bench_records RECORD...
 #include <algorithm>
--- a/fuzz/dns_question.cpp
+++ b/fuzz/dns_question.cpp
@@ -1,5 +1,5 @@
-// Sends arbitrary bytes to the DNS responder. The responder must not answer a message that is no query, and
-// an answer must have between 12 and 1232 bytes.
+// Passes arbitrary bytes to the DNS responder. The responder must not answer a message that is not a query.
+// An answer must have between 12 and 1232 bytes.
 #include <cstdlib>
 
 #include "dns/responder.h"
--- a/fuzz/endpoint_file.cpp
+++ b/fuzz/endpoint_file.cpp
@@ -1,5 +1,5 @@
-// Parses arbitrary bytes as an endpoint file, such as a faulty writer may leave, and updates an endpoint
-// list.
+// Parses arbitrary bytes as an endpoint file and updates an endpoint list. A rejected file must not change
+// the list.
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
--- a/fuzz/generation.cpp
+++ b/fuzz/generation.cpp
@@ -1,6 +1,6 @@
-// Reads arbitrary bytes as a generation of table files that a client sends to a receiver. The names of the
-// files in an accepted generation must stay inside the folder, and writing and reading it again must keep its
-// stamp.
+// Reads arbitrary bytes as a generation of table files that a client sends to a receiver. File names in an
+// accepted generation must stay inside the receiver's folder. A generation that is written and read again
+// must keep its stamp.
 #include <cstdlib>
 
 #include "files/receiver.h"
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -19,7 +19,7 @@
 
 using namespace ospreypost;
 
-// Largest history that is simulated, which limits the time per input.
+// Maximum number of requests and maximum length of a history that is simulated. Limits the time per input.
 constexpr std::uint64_t kMaxPlayedRequests = 3000;
 constexpr Nanos kMaxPlayedLength = std::chrono::minutes(2);
 
@@ -64,7 +64,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   static const auto config = test::small_config();
-  // Turns off the log of protobuf, whose parser logs each text that the parser cannot read.
+  // Turns off protobuf's log: the text parser logs each input that cannot be parsed.
   static auto* const default_log_handler = google::protobuf::SetLogHandler(nullptr);
   static_cast<void>(default_log_handler);
   const auto block = parse_block(std::string(reinterpret_cast<const char*>(data), size));
@@ -74,7 +74,7 @@
   try {
     fit_export_and_play(reader.finish({}), config);
   } catch (const std::invalid_argument&) {
-    // The model rejects a history that cannot be fitted or simulated with this exception.
+    // The model throws std::invalid_argument for a history that cannot be fitted or simulated.
   } catch (const std::out_of_range&) {
     std::abort();
   }
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,5 +1,4 @@
-/// Parses arbitrary bytes as a platform configuration. An error message must start with the name of the
-/// input.
+/// Parses arbitrary bytes as a platform configuration. Error messages must start with the input's name.
 #include "platform/platform_config.h"
 
 #include <cstddef>
--- a/fuzz/platform_stream.cpp
+++ b/fuzz/platform_stream.cpp
@@ -1,5 +1,4 @@
-/// Reads arbitrary bytes as a peer's stream to the platform's address, in pieces of any size, and as a load
-/// report.
+/// Reads arbitrary bytes as the stream of a peer, in pieces of any size, and as the text of a load report.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -79,7 +78,7 @@
   try {
     platform::parse_load_report(bytes, names.load_columns);
   } catch (const platform::MessageError&) {
-    return;  // most inputs are no valid load report and are rejected
+    return;  // the parser rejects most inputs, which are not valid load reports
   }
 }
 
--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -20,7 +20,7 @@
       entries.ParseFromString(block->payload);
     }
   } catch (const net::Error&) {
-    // The reader rejects a file that is no record with this error.
+    // The reader throws net::Error if the file is not a record.
   }
 }
 
