--- a/bench/fleet/plays.py
+++ b/bench/fleet/plays.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Plays small days of the fleet's test, one after the other, and prints one line for each.
+"""Runs small scenarios of the fleet test one after the other, and prints one line for each.
 
     bench/fleet/plays.py BENCH SITE --kinds roll+mass,split+mass --seeds 1-10 --why "..."
 
-From the report that the bench writes: rules broken, a fault of a process, and what was served beside the report's floor (not
-on a day with `throng`). The gate asks for more (by class, tenant and third), which only the bench's scores judge. A play whose
-report is missing is said to be partial, with the bench's last words.
+BENCH writes a report of each run. The printed line gives the broken rules, a fault of a process, and the served fraction
+compared with the report's floor (not compared for scenarios with `throng` in their name). The gate of BENCH also checks
+by class, tenant and third of the scenario; only the scores of BENCH cover these checks. A run without a report is listed
+as partial, with the last line that BENCH printed.
 """
 import argparse
 import json
@@ -15,17 +16,17 @@
 import tempfile
 
 
-def numbers(text):
-    """1-3,7 as [1, 2, 3, 7]."""
-    found = []
+def parse_numbers(text):
+    """Returns the numbers of a list of ranges, such as [1, 2, 3, 7] for "1-3,7"."""
+    parsed = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    return found
+        parsed += range(int(first), int(last or first) + 1)
+    return parsed
 
 
-def verdict(day):
-    """What the report itself says of the day: (verdict, why)."""
+def check_result(day):
+    """Returns the result of a scenario by its report, and the reason: (result, reason)."""
     row = day["row"]
     if day["fault"] or row["fault"]:
         return "CRASHED", str(day["fault"] or row["fault"]).splitlines()[0]
@@ -38,7 +39,7 @@
     return "kept", "-"
 
 
-def play(options, kind, seed, build):
+def run_scenario(options, kind, seed, build):
     with tempfile.TemporaryDirectory() as folder:
         report = os.path.join(folder, "report.json")
         command = [options.bench, options.site, "--rough", kind, "--seed", str(seed), "--json", report]
@@ -49,36 +50,36 @@
             command += ["--logs", os.path.join(options.logs, f"{kind}-{seed}")]
         if not build:
             command.append("--no-build")
-        done = subprocess.run(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+        process = subprocess.run(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
         try:
             with open(report, encoding="utf-8") as file:
                 day = json.load(file)
         except OSError:
-            last = (done.stdout.strip().splitlines() or ["nothing"])[-1]
-            print(f"{kind:24} seed {seed:<3} partial: {last}", flush=True)
+            last_line = (process.stdout.strip().splitlines() or ["nothing"])[-1]
+            print(f"{kind:24} seed {seed:<3} partial: {last_line}", flush=True)
             return False
-    row, (said, why) = day["row"], verdict(day)
+    row, (result, reason) = day["row"], check_result(day)
     floor = "" if row["served_least"] is None else f" (gate {row['served_least']:.3f})"
-    print(f"{kind:24} seed {seed:<3} {said:8} {why:32} served {row['served']:.3f}{floor} score {row['score']:.2f}"
+    print(f"{kind:24} seed {seed:<3} {result:8} {reason:32} served {row['served']:.3f}{floor} score {row['score']:.2f}"
           f" G {row['G']:.3f}", flush=True)
-    return said == "kept"
+    return result == "kept"
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("bench")
     parser.add_argument("site")
-    parser.add_argument("--kinds", required=True, help="joined by commas")
+    parser.add_argument("--kinds", required=True, help="kinds of scenarios, separated by commas")
     parser.add_argument("--seeds", default="1-3", help="such as 1-10 or 2,5")
-    parser.add_argument("--nodes", type=int, default=30, help="0: the day's own size")
+    parser.add_argument("--nodes", type=int, default=30, help="number of nodes; 0: the size that the scenario sets")
     parser.add_argument("--why", required=True)
-    parser.add_argument("--logs", help="a folder for the governors' logs")
-    parser.add_argument("--no-build", action="store_true", help="the build stands already")
+    parser.add_argument("--logs", help="folder for the logs of the control plane instances")
+    parser.add_argument("--no-build", action="store_true", help="do not build first; the build is up to date")
     options = parser.parse_args()
     kept, build = True, not options.no_build
     for kind in options.kinds.split(","):
-        for seed in numbers(options.seeds):
-            kept = play(options, kind, seed, build) and kept
+        for seed in parse_numbers(options.seeds):
+            kept = run_scenario(options, kind, seed, build) and kept
             build = False
     return 0 if kept else 1
 
--- a/packages.sh
+++ b/packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs those of the Debian packages in packages.txt that are missing.
+# Installs the Debian packages of packages.txt that are not installed yet.
 set -eu
 cd "$(dirname "$0")"
 missing=""
