--- a/fuzz/endpoint_file.cpp
+++ b/fuzz/endpoint_file.cpp
@@ -1,4 +1,5 @@
-// Endpoint files as a broken writer may leave them.
+// Parses arbitrary bytes as an endpoint file and updates an endpoint list. A rejected file must not change
+// the list.
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
--- a/fuzz/generation.cpp
+++ b/fuzz/generation.cpp
@@ -1,4 +1,6 @@
-// Generations as anybody may put them to a receiver: what is taken fits its checksum and stays in its folder.
+// Reads arbitrary bytes as a generation of table files that a client sends to a receiver. File names in an
+// accepted generation must stay inside the receiver's folder. A generation that is written and read again
+// must keep its stamp.
 #include <cstdlib>
 
 #include "files/receiver.h"
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,4 +1,4 @@
-/// Configurations of the platform, and the lists that they hold.
+/// Parses arbitrary bytes as a platform configuration. Error messages must start with the input's name.
 #include "platform/platform_config.h"
 
 #include <cstddef>
