--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -24,10 +24,10 @@
     return replay::ControllerConfig{config::module_settings(config), config.seed};
   };
   const auto print = [&](const replay::Difference& difference) {
-    if (!begun) from = difference.at, begun = true;
+    if (!begun) from = difference.event_time, begun = true;
     std::printf("call %llu, %.6f s after the first difference: %s\n  recorded: %s\n  replayed: %s\n",
-                static_cast<unsigned long long>(difference.event_number), seconds(difference.at - from),
-                difference.event.c_str(),
+                static_cast<unsigned long long>(difference.event_number),
+                seconds(difference.event_time - from), difference.event.c_str(),
                 difference.recorded.empty() ? "nothing" : difference.recorded.c_str(),
                 difference.replayed.empty() ? "nothing" : difference.replayed.c_str());
   };
--- a/src/replay/replay.h
+++ b/src/replay/replay.h
@@ -13,7 +13,7 @@
 
 /// An action that was not the same.
 struct Difference {
-  Nanos at{};                      ///< the event's time, on the entries' clock
+  Nanos event_time{};              ///< the event's time, on the entries' clock
   std::uint64_t event_number = 0;  ///< in the whole record, from 1
   std::string event;               ///< that led to the action, in the schema's names
   std::string recorded;            ///< the action in the schema's names; empty: none
