--- a/src/record/action_encoder.h
+++ b/src/record/action_encoder.h
@@ -1,5 +1,5 @@
-/// The controller's actions in the form in which a record stores them: one function for all that write or
-/// compare records.
+/// Converts actions of the controller to the form in which a record stores them. The recorder and the replay
+/// share this conversion.
 #pragma once
 
 #include "policy/actions.h"
@@ -10,7 +10,7 @@
 
 namespace ospreypost::record {
 
-/// Adds the action to those of the entry.
+/// Appends the encoded action to the actions of the entry.
 void encode_action(const Action& action, kept::Entry& entry);
 
 }  // namespace ospreypost::record
--- a/src/record/blocks.cpp
+++ b/src/record/blocks.cpp
@@ -16,9 +16,9 @@
 constexpr std::size_t kFileHeaderBytes = 36;
 constexpr std::size_t kBlockHeaderBytes = 48;
 constexpr std::size_t kChecksumBytes = 8;
-// No block that was written comes near; a forged size must not take the memory.
+// Written blocks are far smaller. The limit keeps a forged size from causing a huge allocation.
 constexpr std::uint32_t kMaxPayloadBytes = 16U << 20;
-// The cheapest is enough: records repeat themselves.
+// Level of zstd. The cheapest regular level is sufficient, as records are repetitive.
 constexpr int kCompressionLevel = 1;
 
 template <typename Number>
@@ -27,7 +27,7 @@
     text += static_cast<char>(static_cast<std::uint64_t>(number) >> (8 * byte));
 }
 
-// Takes numbers from the front of a text, which must hold them.
+// Reads numbers from the front of a text. The text must be long enough for all numbers that are read.
 class NumberReader {
  public:
   explicit NumberReader(std::string_view text) : rest_(text) {}
@@ -57,7 +57,7 @@
   bool is_intact = true;
 };
 
-// The schema that the file states; the newest where the file ends before it.
+// Returns the schema that the file states, or the newest schema if the file ends before its schema field.
 std::uint16_t decode_schema(std::string_view file) {
   const std::string_view magic = file.substr(0, kFileMagic.size());
   if (!kFileMagic.starts_with(magic))
@@ -94,15 +94,15 @@
   return decoded;
 }
 
-// What stands where a block may begin; not known to be one before its checksum is compared.
+// Bytes at which a block may begin. Only a matching checksum shows that the bytes are a block.
 struct BlockCandidate {
   BlockHeader header;
   std::uint32_t stored_bytes = 0;
   std::uint32_t payload_bytes = 0;
   std::uint64_t checksum = 0;
   std::string_view checked_header;
-  std::string_view stored;  // shorter than stated if the file ends before
-  std::string_view after;
+  std::string_view stored;  // shorter than `stored_bytes` if the file ends within the block
+  std::string_view following_bytes;
 
   std::size_t bytes() const { return kBlockHeaderBytes + stored_bytes; }
 };
@@ -120,11 +120,11 @@
   candidate.checksum = numbers.take<std::uint64_t>();
   candidate.checked_header = text.substr(0, kBlockHeaderBytes - kChecksumBytes);
   candidate.stored = text.substr(kBlockHeaderBytes, candidate.stored_bytes);
-  candidate.after = text.substr(kBlockHeaderBytes + candidate.stored.size());
+  candidate.following_bytes = text.substr(kBlockHeaderBytes + candidate.stored.size());
   return candidate;
 }
 
-// Absent if the candidate is no intact block.
+// Returns the decompressed payload, or nothing if the candidate is not an intact block.
 std::optional<std::string> decode_payload(const BlockCandidate& candidate) {
   if (candidate.stored.size() != candidate.stored_bytes) return std::nullopt;
   if (candidate.payload_bytes > kMaxPayloadBytes) return std::nullopt;
@@ -166,19 +166,19 @@
 BlockReader::BlockReader(std::string_view file) : rest_(file) {
   const DecodedFileHeader decoded = decode_file_header(file);
   header_ = decoded.header;
-  // A full disk, or a crash before the header was written, leaves it unfinished. Where it is complete but not
-  // intact, the blocks still hold what they say of themselves.
+  // A full disk or a crash can leave the file header incomplete; such a file has no blocks. If the header is
+  // complete but corrupt, the blocks can still be read, as each block has its own checksum.
   rest_.remove_prefix(decoded.is_complete ? decoded.bytes : file.size());
   if (!decoded.is_intact) corrupt_regions_ = 1;
 }
 
 void BlockReader::restrict_to(Nanos from, Nanos to) {
-  from_ = from;
-  to_ = to;
+  window_begin_ = from;
+  window_end_ = to;
 }
 
 bool BlockReader::is_in_window(const BlockHeader& header) const {
-  return header.last >= from_ && header.first <= to_;
+  return header.last >= window_begin_ && header.first <= window_end_;
 }
 
 std::optional<BlockReader::Block> BlockReader::next() {
@@ -196,8 +196,8 @@
       skip_corrupt_bytes(1);
       continue;
     }
-    const bool leads_to_block = !in_corrupt_region && candidate->after.starts_with(kBlockMagic);
-    if (leads_to_block && !is_in_window(candidate->header)) {
+    const bool block_follows = !in_corrupt_region && candidate->following_bytes.starts_with(kBlockMagic);
+    if (block_follows && !is_in_window(candidate->header)) {
       rest_.remove_prefix(candidate->bytes());
       continue;
     }
--- a/src/record/edit.cpp
+++ b/src/record/edit.cpp
@@ -14,8 +14,8 @@
 
 namespace fs = std::filesystem;
 
-// Without these nobody knows who is there in the window.
-bool tells_who_is_there(const kept::Entry& entry) {
+// Returns whether an entry before the window is needed to know the replicas and proxies within the window.
+bool establishes_fleet(const kept::Entry& entry) {
   switch (entry.call_case()) {
     case kept::Entry::kBegin:
     case kept::Entry::kNamed:
@@ -39,7 +39,7 @@
   void on_entry(const kept::Entry& entry) override {
     const Nanos time = time_in_record(entry);
     const bool is_in_window = time >= window_.from && time <= window_.to;
-    const bool is_needed = time < window_.from && tells_who_is_there(entry);
+    const bool is_needed = time < window_.from && establishes_fleet(entry);
     if (is_in_window || is_needed) {
       copier_.append(entry);
       return;
@@ -61,7 +61,7 @@
 
 std::string merged_name(const std::string& path, const std::string& text) {
   const FileHeader header = BlockReader(text).header();
-  // Of an older schema the name is all that tells its time.
+  // A file before schema 2 has its wall time only in its name.
   if (header.wall_time == Nanos{}) return fs::path(path).filename().string();
   return encode_file_name(header.wall_time, header.number);
 }
--- a/src/record/edit.h
+++ b/src/record/edit.h
@@ -1,4 +1,4 @@
-/// Makes records of records. What is there is never changed: results go to a folder of their own.
+/// Creates new records from existing records. Existing files are never changed: results go to a new folder.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,15 @@
 
 namespace ospreypost::record {
 
-/// Writes the entries of the window to a new record, with those before it that tell who is there: starts,
-/// names, endpoint lists, and proxies that joined or left. What is left out is marked as missing, so that a
-/// replay compares from the next start on. Returns how many entries were left out. Throws `StorageError` if a
-/// file cannot be read or written or the folder holds records already, and `FormatError` if a file is no
-/// record or of a newer schema.
+/// Writes the entries of the window to a new record, preceded by the earlier entries that establish the
+/// fleet: starts, names, endpoint lists, and proxies that joined or left. Omitted entries are marked as
+/// missing, so that a replay resumes its comparison at the next start. Returns the number of omitted entries.
+/// Throws `StorageError` if a file cannot be read or written or if the folder already holds records, and
+/// `FormatError` if a file is not a record or is a record of a newer schema.
 std::uint64_t cut(const std::vector<std::string>& files, const TimeWindow& window, const std::string& folder);
 
-/// Copies all files to one folder, named in their order. Throws as `cut`.
+/// Copies all files to one folder, under names that sort in the order of the files. Throws the same errors as
+/// `cut`.
 void merge(const std::vector<std::string>& files, const std::string& folder);
 
 }  // namespace ospreypost::record
--- a/src/record/errors.h
+++ b/src/record/errors.h
@@ -1,4 +1,4 @@
-/// What can be wrong with a record. All derive from `net::Error`, which callers catch.
+/// Errors in reading or writing a record. All derive from `net::Error`, which callers catch.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace ospreypost::record {
 
-/// A text is no record, or one of a schema that this program does not read.
+/// A text is not a record, or is a record of a schema that this program cannot read.
 class FormatError : public net::Error {
  public:
   FormatError(const std::string& message, std::string expected, std::string found, std::string path = {})
@@ -20,9 +20,9 @@
 
   const std::string& expected() const { return expected_; }
   const std::string& found() const { return found_; }
-  /// The file; empty where the text came from none.
+  /// Path of the file; empty if the text did not come from a file.
   const std::string& path() const { return path_; }
-  /// The same error with the file that it is about, which then stands before the message.
+  /// Returns a copy of this error with the path of the file, which the new message starts with.
   FormatError in_file(const std::string& path) const { return {message_, expected_, found_, path}; }
 
  private:
@@ -32,7 +32,7 @@
   std::string path_;
 };
 
-/// A file or folder cannot be read or written, is missing, or is there already.
+/// A file or folder cannot be read or written, is missing, or already exists.
 class StorageError : public net::Error {
  public:
   StorageError(const std::string& message, std::string path) : net::Error(message), path_(std::move(path)) {}
--- a/src/record/event_encoder.h
+++ b/src/record/event_encoder.h
@@ -1,4 +1,4 @@
-/// Events in the form in which a record stores them; `replay/event_decoder.h` is the way back.
+/// Converts events to the form in which a record stores them; `replay/event_decoder.h` is the inverse.
 #pragma once
 
 #include "record/events.h"
@@ -9,7 +9,7 @@
 
 namespace ospreypost::record {
 
-/// Makes `entry` that of the event; its time and its actions are left as they are.
+/// Stores the event in `entry`. The time and the actions of `entry` do not change.
 void encode_event(const Event& event, kept::Entry& entry);
 
 }  // namespace ospreypost::record
--- a/src/record/events.h
+++ b/src/record/events.h
@@ -1,5 +1,5 @@
-/// What a record holds besides actions: one type for each event that the controller receives, and for what
-/// readers need to know about it. References are valid during the call that takes an event.
+/// The events of a record: one type for each event that the controller receives, and types for information
+/// that only readers of the record use. References are valid during the call that receives an event.
 #pragma once
 
 #include <string>
@@ -13,13 +13,13 @@
 
 namespace ospreypost::record {
 
-/// An incarnation of the control plane starts: all entries before belong to another.
+/// An incarnation of the control plane starts: all earlier entries belong to earlier incarnations.
 struct IncarnationStarted {
-  const std::string& configuration;  ///< the text of its file
-  Nanos wall_time{};                 ///< since 1970
+  const std::string& configuration;  ///< text of the configuration file
+  Nanos wall_time{};                 ///< time of the start, since 1970
 };
 
-/// What an id stands for. The controller does not receive it.
+/// The name that belongs to a replica id. The controller does not receive names.
 struct ReplicaNamed {
   ReplicaId replica{};
   const std::string& name;
@@ -36,7 +36,7 @@
   ProxyId proxy{};
   ZoneId zone{};
   double usual_requests_per_second = 0;
-  bool fresh = false;  ///< it holds no tables yet
+  bool fresh = false;  ///< the proxy holds no tables yet
 };
 
 struct ProxyLeft {
@@ -56,7 +56,7 @@
 struct Acknowledged {
   ProxyId proxy{};
   AckRequestId request{};
-  Nanos elapsed{};  ///< since the request was sent
+  Nanos elapsed{};  ///< time since the acknowledgement was requested
 };
 
 struct HealthCheckCompleted {
--- a/src/record/file_name.cpp
+++ b/src/record/file_name.cpp
@@ -7,7 +7,7 @@
 namespace ospreypost::record {
 namespace {
 
-// As nanoseconds they have to fit.
+// Upper limit of the time in a name, so that the time fits `Nanos`.
 constexpr long long kMaxNameMilliseconds = 9'000'000'000'000;
 constexpr std::size_t kMaxNameBytes = 80;
 
--- a/src/record/file_name.h
+++ b/src/record/file_name.h
@@ -1,4 +1,4 @@
-/// The names of a record's files, which carry the wall-clock time of their first entry.
+/// The names of the files of a record. A name contains the wall-clock time of the first entry of the file.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,12 @@
 /// The extension of every file of a record.
 inline constexpr const char* kFileExtension = ".rec";
 
-/// The name of a file that begins at `wall_time` (since 1970) and is the `number`th of its incarnation. Names
-/// sort by the two.
+/// Returns the name of a file that begins at `wall_time` (since 1970) and has the position `number` among the
+/// files of its incarnation. Names sort by time, then by number.
 std::string encode_file_name(Nanos wall_time, std::uint64_t number);
 
-/// The wall-clock time in a file's name, to the millisecond; absent if the name carries none, or one that
-/// does not fit.
+/// Returns the wall-clock time in the name of a file, in whole milliseconds, or nothing if the name contains
+/// no time or the time does not fit `Nanos`.
 std::optional<Nanos> wall_time_of_name(const std::filesystem::path& path);
 
 }  // namespace ospreypost::record
--- a/src/record/id_number.h
+++ b/src/record/id_number.h
@@ -1,4 +1,4 @@
-/// The numbers behind typed ids, as records store them.
+/// Converts typed ids to the numbers that records store.
 #pragma once
 
 #include <type_traits>
--- a/src/record/origin.h
+++ b/src/record/origin.h
@@ -1,15 +1,15 @@
-/// Where a report came from.
+/// The origin of a report.
 #pragma once
 
 #include "policy/types.h"
 
 namespace ospreypost::record {
 
-/// The sender of a report and its delay. The controller does not receive it; a record stores it for whoever
-/// plays the recorded time again.
+/// The proxy that sent a report, and the delay of the report. The controller does not receive the origin; a
+/// record stores it for simulations of the recorded time.
 struct Origin {
   ProxyId proxy{};
-  Nanos late{};  ///< how much longer it travelled than the fastest report seen from that proxy; at least 0
+  Nanos late{};  ///< delay beyond that of the fastest report seen from the proxy; at least 0
 };
 
 }  // namespace ospreypost::record
--- a/src/record/output_folder.h
+++ b/src/record/output_folder.h
@@ -1,4 +1,4 @@
-/// Writes the files of a new record. Nothing that is there is ever overwritten.
+/// Writes the files of a new record. Existing records are never overwritten.
 #pragma once
 
 #include <filesystem>
@@ -6,10 +6,10 @@
 
 namespace ospreypost::record {
 
-/// Creates the folder. Throws `StorageError` if it cannot be created or holds records already.
+/// Creates the folder. Throws `StorageError` if the folder cannot be created or already holds records.
 void create_output_folder(const std::string& folder);
 
-/// Throws `StorageError` if not all of the text can be written.
+/// Writes `text` to the file. Throws `StorageError` if the text cannot be written completely.
 void write_file(const std::filesystem::path& path, const std::string& text);
 
 }  // namespace ospreypost::record
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-// More than any file's header has.
+// Upper limit of the size of a file header in any schema.
 constexpr std::size_t kMaxHeaderBytes = 64;
 
 struct RecordFile {
@@ -34,7 +34,8 @@
   return text;
 }
 
-// Before schema 2, and where the header is corrupt, the time stands in the name alone.
+// Returns the wall time of a file. If the header has no time (before schema 2) or is corrupt, the time is
+// taken from the file name.
 Nanos wall_time_of(const FileHeader& header, const std::string& path) {
   if (header.wall_time != Nanos{}) return header.wall_time;
   return wall_time_of_name(path).value_or(Nanos{});
@@ -71,7 +72,7 @@
          read_file(left.path) == read_file(right.path);
 }
 
-// The file's header; what it does not tell is taken from the name and the first block.
+// Returns the header of a file. Times missing in the header are taken from the file name and the first block.
 FileHeader complete_header(const std::string& path, const std::string& text) {
   BlockReader blocks(text);
   FileHeader header = blocks.header();
@@ -81,7 +82,7 @@
   return header;
 }
 
-// The window on the clock of a file's entries.
+// Converts a window of the record's time to the monotonic clock of the entries in `file`.
 TimeWindow on_file_clock(const TimeWindow& window, const FileHeader& first_file, const FileHeader& file) {
   const Nanos offset = file.clock_time - (file.wall_time - first_file.wall_time);
   const bool is_open_ended = window.to == Nanos::max();
@@ -104,7 +105,8 @@
     }
     for (const auto& entry : entries.entries()) visitor.on_entry(entry);
   }
-  // What a crash left unfinished at the end of a file is followed by another start, or by nothing: no gap.
+  // An unfinished block at the end of a file is counted but is not a gap: after the crash that caused it, the
+  // record continues with another start or ends.
   corruption.corrupt_regions += blocks.corrupt_regions();
 }
 
@@ -132,7 +134,7 @@
   std::ifstream stream(path, std::ios::binary);
   if (!stream) throw StorageError("cannot read " + path, path);
   std::ostringstream text;
-  // Nothing to copy is no failure: a disk that was full leaves files without a byte.
+  // An empty file, which a full disk can leave, is not an error; only failed reads are.
   text << stream.rdbuf();
   if (stream.bad()) throw StorageError("cannot read " + path, path);
   return std::move(text).str();
--- a/src/record/reader.h
+++ b/src/record/reader.h
@@ -1,4 +1,4 @@
-/// Reads a record's files in their order, entry by entry, and tells where the record is incomplete.
+/// Reads the files of a record from the oldest to the newest, entry by entry, and reports gaps in the record.
 #pragma once
 
 #include <cstdint>
@@ -13,44 +13,46 @@
 
 namespace ospreypost::record {
 
-/// Receives what a record holds, in its order.
+/// Receives the contents of a record in the order of the record.
 class RecordVisitor {
  public:
   virtual ~RecordVisitor() = default;
-  /// A file begins; all its entries are of one incarnation. Where its header does not tell its times, they
-  /// are those of its name and of its first block.
+  /// A file begins; all entries of the file belong to one incarnation. If the stored header has no times, the
+  /// wall time of the passed header is taken from the file name and its clock time from the first block.
   virtual void on_file(const FileHeader&) {}
   virtual void on_entry(const kept::Entry& entry) = 0;
-  /// Something is missing between the entry before and the next: so many entries, as far as the record tells.
+  /// Entries are missing between the previous entry and the next entry. `lost_entries` is their number as far
+  /// as the record states it; 0 if the record does not.
   virtual void on_gap(std::uint64_t lost_entries) = 0;
 };
 
-/// What is missing or unreadable in a record.
+/// Amount of missing and unreadable data in a record.
 struct Corruption {
-  std::uint64_t lost_entries = 0;     ///< that were not stored, as far as the record tells
-  std::uint64_t corrupt_regions = 0;  ///< regions of bytes that are no intact block
+  std::uint64_t lost_entries = 0;     ///< entries that were not stored, as stated by the record
+  std::uint64_t corrupt_regions = 0;  ///< regions of bytes that are not an intact block
 };
 
-/// The files of a record, from folders and single paths, oldest first whatever the order given. A file that
-/// is there twice counts once. Throws `StorageError` if a folder holds none or a file cannot be read, and
-/// `FormatError` if one is no record.
+/// Returns the record files at `paths` (folders and single files), oldest first regardless of the order of
+/// `paths`. Of files with the same contents only one is returned. Throws `StorageError` if a folder holds no
+/// record files or a file cannot be read, and `FormatError` if a file is not a record.
 std::vector<std::string> list_files(const std::vector<std::string>& paths);
 
-/// The whole of a file. Throws `StorageError` if it cannot be read.
+/// Returns the contents of a file. Throws `StorageError` if the file cannot be read.
 std::string read_file(const std::string& path);
 
-/// Hands the whole record to `visitor`. Throws `StorageError` if a file cannot be read, and `FormatError` if
-/// one is no record or of a newer schema.
+/// Passes the whole record to `visitor`. Throws `StorageError` if a file cannot be read, and `FormatError` if
+/// a file is not a record or is a record of a newer schema.
 Corruption visit_record(const std::vector<std::string>& files, RecordVisitor& visitor);
 
-/// A span of a record's time, which counts from the first entry of its first file.
+/// A span of time in a record; times count from the first entry of the first file.
 struct TimeWindow {
   Nanos from{};
   Nanos to = Nanos::max();
 };
 
-/// The same, but only blocks that touch the window are decompressed; the others are passed over by their
-/// headers. Entries outside of it may still come: those of the first and the last block.
+/// Passes the blocks of a record that overlap the window to `visitor`; other blocks are skipped by their
+/// headers without decompression. The first and the last block may contain entries outside of the window,
+/// which `visitor` also receives. Throws the same errors as the other overload.
 Corruption visit_record(const std::vector<std::string>& files, const TimeWindow& window,
                         RecordVisitor& visitor);
 
--- a/src/record/record_copier.cpp
+++ b/src/record/record_copier.cpp
@@ -20,7 +20,7 @@
 void RecordCopier::append(const kept::Entry& entry) {
   const Nanos time(entry.at());
   if (block_header_.entries == 0) begin_block(time);
-  // The header of the block after it says what is missing.
+  // Lost entries are stated in a block header, so the entry after a gap begins a new block.
   if (lost_entries_ > 0) {
     close_block();
     begin_block(time);
--- a/src/record/record_copier.h
+++ b/src/record/record_copier.h
@@ -1,4 +1,4 @@
-/// Writes entries of a record to a record of its own.
+/// Writes entries of an existing record to a new record.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,21 @@
 
 namespace ospreypost::record {
 
-/// Writes a record to a folder, on the calling thread. Hand it files and their entries in order, then
-/// `close`; what was handed in since the last file began is lost without. Not thread-safe.
+/// Writes a record to a folder, on the calling thread. Callers begin each file and append the entries of the
+/// file in order, and call `close` at the end; without `close`, the entries of the last file are lost. Not
+/// thread-safe.
 class RecordCopier {
  public:
-  /// Throws `StorageError` if the folder holds records already or cannot be created.
+  /// Throws `StorageError` if the folder already holds records or cannot be created.
   explicit RecordCopier(std::string folder);
 
-  /// Entries from now on belong to a file with this header. Throws `StorageError` if the file before cannot
-  /// be written.
+  /// Closes the previous file and begins a file with this header for the next entries. Throws `StorageError`
+  /// if the previous file cannot be written.
   void begin_file(const FileHeader& header);
   void append(const kept::Entry& entry);
-  /// So many entries are missing before the next that is appended.
+  /// Marks `entries` entries as missing before the next appended entry.
   void mark_lost(std::uint64_t entries) { lost_entries_ += entries; }
-  /// Writes all that was appended. Throws `StorageError`.
+  /// Writes all appended entries. Throws `StorageError` if the file cannot be written.
   void close();
 
  private:
@@ -34,10 +35,10 @@
 
   const std::string folder_;
   FileHeader file_header_;
-  std::string file_text_;  // the blocks of the file that are closed
+  std::string file_text_;  // closed blocks of the file in their stored form
   BlockHeader block_header_;
   std::string block_payload_;
-  std::uint64_t lost_entries_ = 0;  // before the next block
+  std::uint64_t lost_entries_ = 0;  // missing entries before the next block
 };
 
 }  // namespace ospreypost::record
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -1,4 +1,4 @@
-/// A `Controller` whose events and actions are recorded.
+/// Records the events and actions of a `Controller`.
 #pragma once
 
 #include <memory>
@@ -18,17 +18,18 @@
 
 class Writer;
 
-/// The one place where events enter the controller and its actions leave it. It has the controller's own
-/// methods, and stores each event with the actions that it led to; without a writer it only passes them on.
-/// It decides nothing. Not thread-safe.
+/// Wraps the controller: all events enter and all actions leave the controller through this class. The
+/// methods match those of `Controller`. Each event is stored together with the resulting actions; without a
+/// writer events and actions are only forwarded. The class makes no decisions. Not thread-safe.
 class RecordingController : private ActionSink {
  public:
-  /// `configuration` is the text of its file. `writer` may be null; it must outlive this, as must `actions`.
+  /// `configuration` is the text of the configuration file. `writer` may be null. `writer` and `actions` must
+  /// outlive this object.
   RecordingController(const Settings& settings, std::uint64_t seed, Nanos now, ActionSink& actions,
                       Writer* writer, const std::string& configuration);
   ~RecordingController() override;
 
-  // As `Controller` has them; `origin` is for readers of the record.
+  // Same events as those of `Controller`. `origin` is only recorded, and not passed to the controller.
 
   void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
   void on_endpoint_list_failed(Nanos now);
@@ -41,20 +42,20 @@
   void on_timer(Nanos now, TimerId timer);
   void on_peer_message(Nanos now, PeerId peer, std::string_view message);
 
-  /// Tells readers of the record what an id stands for; the controller does not receive it.
+  /// Records the name that belongs to a replica id. The controller does not receive names.
   void on_replica_named(Nanos now, ReplicaId replica, const std::string& name);
 
  private:
   void on_action(const Action& action) override;
 
-  // Calls `handle` with an entry open for the actions that it leads to, and stores the entry.
+  // Creates an entry for the event, calls `handle`, which adds the resulting actions, and stores the entry.
   template <typename Handler>
   void record(Nanos now, const Event& event, Handler handle);
 
   ActionSink& actions_;
   Writer* const writer_;
-  std::unique_ptr<kept::Entry> entry_;  // of the event being handled
-  std::string serialized_entry_;        // kept for its memory
+  std::unique_ptr<kept::Entry> entry_;  // entry of the event being handled
+  std::string serialized_entry_;        // a member only so that its buffer is reused
   std::unique_ptr<Controller> controller_;
 };
 
--- a/src/record/summary.cpp
+++ b/src/record/summary.cpp
@@ -7,7 +7,7 @@
 namespace ospreypost::record {
 namespace {
 
-// The schema's name of the field of the oneof that is set.
+// Returns the name, as in record.proto, of the field that is set in the oneof.
 template <typename Message>
 std::string kind_of(const Message& message, const char* oneof) {
   const auto* field = message.GetReflection()->GetOneofFieldDescriptor(
--- a/src/record/timed_visitor.h
+++ b/src/record/timed_visitor.h
@@ -1,4 +1,4 @@
-/// A visitor that knows the time of each entry since the record's beginning.
+/// A visitor that computes the time of each entry since the beginning of the record.
 #pragma once
 
 #include <optional>
@@ -7,19 +7,19 @@
 
 namespace ospreypost::record {
 
-/// Base of visitors that select entries by a `TimeWindow`. One that overrides `on_file` calls this one's
-/// first.
+/// Base class of visitors that select entries by a `TimeWindow`. A derived class that overrides `on_file`
+/// must first call `TimedVisitor::on_file`.
 class TimedVisitor : public RecordVisitor {
  public:
   void on_file(const FileHeader& header) override;
 
  protected:
-  /// The time of an entry of the present file since the first entry of the record's first file.
+  /// Returns the time of an entry of the current file, counted from the first entry of the first file.
   Nanos time_in_record(const kept::Entry& entry) const;
 
  private:
   FileHeader file_header_;
-  std::optional<Nanos> record_began_;  // since 1970
+  std::optional<Nanos> record_begin_;  // wall time of the first entry of the first file, since 1970
 };
 
 }  // namespace ospreypost::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -19,9 +19,9 @@
 using namespace std::chrono_literals;
 
 constexpr auto kMaxBlockAge = 200ms;
-constexpr std::size_t kMaxWaitingBlocks = 64;
+constexpr std::size_t kMaxPendingBlocks = 64;
 
-// Appends field 1 of a kept::Block, in the wire format of protocol buffers: tag, length, bytes.
+// Appends an entry as field 1 of a kept::Block, in the wire format of protocol buffers: tag, length, bytes.
 void append_entry_field(std::string& payload, const std::string& entry) {
   constexpr char kTag = '\x0a';
   constexpr std::size_t kContinuation = 0x80;
@@ -58,7 +58,7 @@
   std::error_code error;
   fs::create_directories(retention_.folder, error);
   if (error) {
-    throw StorageError("the record's folder " + retention_.folder + ": " + error.message(),
+    throw StorageError("cannot create the folder for records " + retention_.folder + ": " + error.message(),
                        retention_.folder);
   }
   thread_ = net::Thread("record", [this] { run(); });
@@ -66,43 +66,44 @@
 
 void Writer::append(Nanos time, const std::string& entry) {
   const std::scoped_lock lock(mutex_);
-  BlockHeader& header = gathered_.header;
+  BlockHeader& header = open_block_.header;
   if (header.entries == 0) {
     header.first = time;
-    gathered_since_ = net::Steady::now();
-    gathered_.wall_time = std::chrono::system_clock::now().time_since_epoch();
+    open_block_since_ = net::Steady::now();
+    open_block_.wall_time = std::chrono::system_clock::now().time_since_epoch();
   }
   ++header.entries;
   ++counts_.entries;
   header.last = time;
-  append_entry_field(gathered_.payload, entry);
-  if (gathered_.payload.size() >= kTargetPayloadBytes) close_block_locked();
+  append_entry_field(open_block_.payload, entry);
+  if (open_block_.payload.size() >= kTargetPayloadBytes) close_block_locked();
 }
 
-// With mutex_ held.
+// The caller must hold mutex_.
 void Writer::close_block_locked() {
-  if (gathered_.header.entries == 0) return;
-  if (waiting_.size() >= kMaxWaitingBlocks) {
-    lost_since_stored_ += gathered_.header.entries;
-    counts_.lost += gathered_.header.entries;
+  if (open_block_.header.entries == 0) return;
+  if (pending_blocks_.size() >= kMaxPendingBlocks) {
+    unreported_lost_entries_ += open_block_.header.entries;
+    counts_.lost += open_block_.header.entries;
   } else {
-    gathered_.header.lost_before = std::exchange(lost_since_stored_, 0);
-    waiting_.push_back(std::move(gathered_));
+    open_block_.header.lost_before = std::exchange(unreported_lost_entries_, 0);
+    pending_blocks_.push_back(std::move(open_block_));
     changed_.notify_one();
   }
-  gathered_ = {};
+  open_block_ = {};
 }
 
 void Writer::run() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    changed_.wait_for(lock, kMaxBlockAge, [this] { return stopping_ || !waiting_.empty(); });
-    const bool is_due = gathered_.header.entries > 0 && net::Steady::now() - gathered_since_ >= kMaxBlockAge;
+    changed_.wait_for(lock, kMaxBlockAge, [this] { return stopping_ || !pending_blocks_.empty(); });
+    const bool is_due =
+        open_block_.header.entries > 0 && net::Steady::now() - open_block_since_ >= kMaxBlockAge;
     if (stopping_ || is_due) close_block_locked();
-    if (waiting_.empty() && stopping_) return;
-    while (!waiting_.empty()) {
-      const PendingBlock block = std::move(waiting_.front());
-      waiting_.pop_front();
+    if (pending_blocks_.empty() && stopping_) return;
+    while (!pending_blocks_.empty()) {
+      const PendingBlock block = std::move(pending_blocks_.front());
+      pending_blocks_.pop_front();
       lock.unlock();
       write_block(block);
       lock.lock();
@@ -122,12 +123,12 @@
   const std::size_t written_bytes = write_bytes(text);
   file_bytes_ += written_bytes;
   const bool succeeded = written_bytes == text.size();
-  note_result(block, written_bytes, succeeded);
-  // Half a block stays where it is: readers skip it. The next goes to a file of its own.
+  count_result(block, written_bytes, succeeded);
+  // Readers skip a partly written block. The next block goes to a new file.
   if (!succeeded) close_file();
 }
 
-void Writer::note_result(const PendingBlock& block, std::size_t written_bytes, bool succeeded) {
+void Writer::count_result(const PendingBlock& block, std::size_t written_bytes, bool succeeded) {
   const std::scoped_lock lock(mutex_);
   counts_.bytes += written_bytes;
   if (succeeded) {
@@ -136,17 +137,17 @@
   }
   ++counts_.failures;
   counts_.lost += block.header.entries;
-  lost_since_stored_ += block.header.entries + block.header.lost_before;
+  unreported_lost_entries_ += block.header.entries + block.header.lost_before;
 }
 
-// How many bytes the system took; fewer than given on an error, none where no file is open.
+// Returns the number of written bytes: fewer than the size of `text` on an error, 0 if no file is open.
 std::size_t Writer::write_bytes(const std::string& text) const {
   std::size_t written = 0;
   while (file_ >= 0 && written < text.size()) {
-    const auto taken = ::write(file_, text.data() + written, text.size() - written);
-    if (taken < 0 && errno == EINTR) continue;
-    if (taken <= 0) break;
-    written += static_cast<std::size_t>(taken);
+    const auto result = ::write(file_, text.data() + written, text.size() - written);
+    if (result < 0 && errno == EINTR) continue;
+    if (result <= 0) break;
+    written += static_cast<std::size_t>(result);
   }
   return written;
 }
@@ -164,8 +165,9 @@
   remove_oldest_files();
 }
 
-// Files are named by the wall clock, so that those of several incarnations sort. A clock that was set back
-// must not put a later incarnation before an earlier one.
+// Returns the time for the name of the next file. File names contain the wall time, so that the files of
+// several incarnations sort by time. If the clock was set back, the name still sorts after all existing
+// names, so that a later incarnation never precedes an earlier one.
 Nanos Writer::next_file_time(Nanos wall_time) const {
   const Nanos min_distance = files_begun_ == 0 ? 1ms : 0ms;
   Nanos file_time = std::chrono::floor<std::chrono::milliseconds>(wall_time);
@@ -179,7 +181,7 @@
 
 void Writer::remove_oldest_files() const {
   const std::vector<StoredFile> files = files_by_name(retention_.folder);
-  // The file that begins may grow to its limit.
+  // The new file is counted at its maximum size, to which it may grow.
   std::uint64_t total_bytes = retention_.max_file_bytes;
   for (const auto& file : files) total_bytes += file.bytes;
   for (std::size_t n = 0; n + 1 < files.size() && total_bytes > retention_.max_bytes; ++n) {
--- a/src/replay/anonymise.cpp
+++ b/src/replay/anonymise.cpp
@@ -15,7 +15,7 @@
 
 using config::Element;
 
-// Comments may name anything.
+// Comments may contain any name, so all comments are removed.
 std::string without_comments(std::string text) {
   constexpr std::string_view kCommentBegin = "<!--";
   constexpr std::string_view kCommentEnd = "-->";
@@ -71,7 +71,7 @@
   }
 
   void replace_name(const Element& element, const char* attribute, const char* kind) {
-    if (const auto name = element.find(attribute)) element.set(attribute, pseudonyms_.of(kind, *name));
+    if (const auto name = element.find(attribute)) element.set(attribute, pseudonyms_.name_for(kind, *name));
   }
 
   void replace_names_of_children(const Element& root, const char* list, const char* kind) {
@@ -85,14 +85,14 @@
     std::string list;
     for (const auto& name : element.words(attribute)) {
       if (!list.empty()) list += " ";
-      list += pseudonyms_.of(kind, name);
+      list += pseudonyms_.name_for(kind, name);
     }
     element.set(attribute, list);
   }
 
   void replace_address(const Element& element, const char* attribute) {
     if (const auto address = element.find(attribute))
-      element.set(attribute, pseudonyms_.of_address(*address));
+      element.set(attribute, pseudonyms_.address_for(*address));
   }
 
   Pseudonyms& pseudonyms_;
@@ -107,16 +107,16 @@
     copier_.mark_lost(std::max<std::uint64_t>(lost_entries, 1));
   }
   void on_entry(const kept::Entry& entry) override {
-    kept::Entry anonymous = entry;
-    if (anonymous.has_begin()) {
-      auto& begin = *anonymous.mutable_begin();
+    kept::Entry anonymous_entry = entry;
+    if (anonymous_entry.has_begin()) {
+      auto& begin = *anonymous_entry.mutable_begin();
       begin.set_configuration(ConfigurationAnonymiser(pseudonyms_).anonymise(begin.configuration()));
     }
-    if (anonymous.has_named()) {
-      auto& named = *anonymous.mutable_named();
-      named.set_name(pseudonyms_.of("replica", named.name()));
+    if (anonymous_entry.has_named()) {
+      auto& named = *anonymous_entry.mutable_named();
+      named.set_name(pseudonyms_.name_for("replica", named.name()));
     }
-    copier_.append(anonymous);
+    copier_.append(anonymous_entry);
   }
 
  private:
--- a/src/replay/anonymise.h
+++ b/src/replay/anonymise.h
@@ -1,4 +1,4 @@
-/// A record without its names.
+/// Removes the names from a record.
 #pragma once
 
 #include <string>
@@ -6,10 +6,11 @@
 
 namespace ospreypost::replay {
 
-/// Writes the record to a folder of its own. The names of proxies, replicas, zones, hardware kinds and
-/// classes, addresses and paths are replaced, each by the same one everywhere, so that a replay still leads
-/// to the same actions. Throws `record::StorageError` and `record::FormatError` as `record::cut`, and
-/// `config::ConfigError` if a recorded configuration cannot be read.
+/// Writes an anonymised copy of the record to a new folder. The names of proxies, replicas, zones, hardware
+/// kinds and classes, addresses and paths are replaced, each name by the same pseudonym everywhere, so that a
+/// replay of the copy leads to the same actions. Throws `record::StorageError` and `record::FormatError`
+/// under the same conditions as `record::cut`, and `config::ConfigError` if a recorded configuration cannot
+/// be read.
 void anonymise(const std::vector<std::string>& files, const std::string& folder);
 
 }  // namespace ospreypost::replay
--- a/src/replay/decode_id.h
+++ b/src/replay/decode_id.h
@@ -1,4 +1,4 @@
-/// Typed ids from the numbers that a record stores.
+/// Converts the numbers that a record stores to typed ids.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace ospreypost::replay {
 
-/// Ids of 16 bits are stored as numbers of 32; what does not fit is cut off.
+/// Records store ids of 16 bits as numbers of 32 bits; higher bits that do not fit the id type are discarded.
 template <typename Id>
 constexpr Id decode_id(std::uint32_t number) {
   return Id{static_cast<std::underlying_type_t<Id>>(number)};
--- a/src/replay/event_decoder.h
+++ b/src/replay/event_decoder.h
@@ -1,4 +1,4 @@
-/// Recorded events given to a controller; the way back from `record/event_encoder.h`.
+/// Decodes recorded events and passes them to a controller; the inverse of `record/event_encoder.h`.
 #pragma once
 
 #include "policy/controller.h"
@@ -10,11 +10,11 @@
 
 namespace ospreypost::replay {
 
-/// One entry of an endpoint list, as it was recorded.
+/// Decodes one recorded entry of an endpoint list.
 EndpointUpdate decode_endpoint_update(const kept::ListEntry& encoded);
 
-/// Calls the controller as it was called when the entry was recorded. False if the entry is no event that a
-/// controller receives; then nothing is called.
+/// Repeats the recorded call on the controller. Returns false, without a call, if the entry is not an event
+/// that a controller receives.
 bool dispatch_event(const kept::Entry& entry, Controller& controller);
 
 }  // namespace ospreypost::replay
--- a/src/replay/export_scenario.cpp
+++ b/src/replay/export_scenario.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr Nanos kMaxScenarioLength = std::chrono::hours(1);
-// What rounds to nothing is no rate and no work.
+// Minimum written value of a rate and of a work time; smaller values would be rounded to 0, which is neither
+// a valid rate nor a valid work time.
 constexpr double kMinDecimal = 0.001;
 
 bool has_requests(const simulation::Report& report) {
@@ -24,7 +25,8 @@
                      [](const simulation::Asked& asked) { return asked.operations > 0; });
 }
 
-// A scenario's clock starts when its proxies have their tables; a record's, when the control plane does.
+// Returns the time of the first requests in the record. The time of a scenario starts when its proxies have
+// their tables; the time of a record already starts with the control plane.
 Nanos scenario_begin(const simulation::History& history) {
   std::optional<Nanos> begin;
   for (const auto& report : history.reports) {
@@ -55,7 +57,7 @@
   return text + "  </fleet>\n";
 }
 
-// The longest time that one proxy's reports cover.
+// Returns the longest time that the reports of a single proxy cover.
 double max_reported_seconds(const simulation::History& history) {
   std::map<ProxyId, double> reported_seconds;
   for (const auto& report : history.reports) reported_seconds[report.proxy] += report.seconds();
@@ -64,7 +66,7 @@
   return longest;
 }
 
-// By class, without those that are repeats of failed ones.
+// Returns the number of requests by class, without the estimated repeats of failed requests.
 std::vector<double> first_requests(const ScenarioSource& source) {
   std::vector<double> requests(source.deployment.classes.size());
   for (const auto& report : source.history.reports) {
@@ -93,11 +95,12 @@
 
 std::string head_text(const ReplicaNames& names) {
   std::string text =
-      "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<!-- Made of a record. Speeds, cores and failures are the "
-      "model's; a failure that nobody saw end is\n     taken to have ended half way to the next look. "
-      "Replicas go by other names here:\n";
-  for (const auto& [recorded, ours] : names.by_recorded_name())
-    text += "     " + comment_text(recorded) + " is " + ours + "\n";
+      "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<!-- Created from a record. Speeds, cores and failures "
+      "are "
+      "estimates of the model; a failure whose end was\n     not observed is assumed to have ended half way "
+      "to the next observation. Replicas have new names here:\n";
+  for (const auto& [recorded, scenario_name] : names.by_recorded_name())
+    text += "     " + comment_text(recorded) + " is " + scenario_name + "\n";
   return text + "-->\n";
 }
 
--- a/src/replay/export_scenario.h
+++ b/src/replay/export_scenario.h
@@ -1,4 +1,4 @@
-/// A scenario made of a record: its fleet, its traffic, and what befell it, as far as the record tells.
+/// Creates a scenario from a record: the fleet, the traffic and the faults that the record shows.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 namespace ospreypost::replay {
 
 struct ExportedScenario {
-  std::string scenario;       ///< the text of the scenario's file
-  std::string configuration;  ///< the text of the file that it names, to lie beside it
+  std::string scenario;       ///< text of the scenario file
+  std::string configuration;  ///< text of the configuration file that the scenario names
 };
 
-/// `fleet` is the model fitted from the same record, `kinds` the names of hardware kinds by id, `name` that
-/// of the scenario, and `configuration_file` the name of the configuration's file. What a scenario cannot say
-/// is left out and named in the file's first lines. Throws std::invalid_argument if the record is longer than
-/// a scenario may be, tells of no replica, or does not fit the deployment.
+/// Returns a scenario for the recorded time. `fleet` is the model fitted to the same record, `kinds` holds
+/// the names of hardware kinds by id, `name` is the name of the scenario, and `configuration_file` is the
+/// name of the configuration file, which must be in the same folder as the scenario. Details that a scenario
+/// cannot express are left out and described in the first lines of the scenario. Throws std::invalid_argument
+/// if the record is longer than a scenario may be, contains no replica, or does not match the deployment.
 ExportedScenario export_scenario(const simulation::History& history, const simulation::Deployment& deployment,
                                  const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
                                  const std::string& name, const std::string& configuration_file);
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -37,7 +37,7 @@
     begin_incarnation(entry);
     return;
   }
-  // The record's beginning is gone: nothing tells what was configured.
+  // The beginning of the record is missing, so the configuration of these entries is unknown.
   if (history_.lives.empty()) return;
   const Nanos now = Nanos(entry.at()) + clock_offset_;
   history_.lives.back().to = std::max(history_.lives.back().to, now);
@@ -49,7 +49,7 @@
     history_.configuration = entry.begin().configuration();
     first_wall_time_ = entry.begin().wall();
   }
-  // A wall clock that was set back between two incarnations must not turn time round.
+  // The time of the history must not decrease if the wall clock was set back between two incarnations.
   const Nanos last_time = history_.lives.empty() ? Nanos{} : history_.lives.back().to;
   const Nanos now = std::max(last_time, Nanos(entry.begin().wall() - first_wall_time_));
   clock_offset_ = now - Nanos(entry.at());
@@ -83,13 +83,13 @@
     case Entry::kPeerSaid:
       return add_peer_message(now, entry);
     default:
-      return;  // timers and health checks are the model's to answer
+      return;  // not needed: the simulation model produces its own timers and health checks
   }
 }
 
 ReplicaId HistoryReader::replica_id(std::uint32_t recorded_id) {
-  const auto known = replica_ids_.find(recorded_id);
-  if (known != replica_ids_.end()) return known->second;
+  const auto found = replica_ids_.find(recorded_id);
+  if (found != replica_ids_.end()) return found->second;
   const ReplicaId id = names_.id_of("replica-" + std::to_string(recorded_id));
   replica_ids_[recorded_id] = id;
   return id;
@@ -156,8 +156,8 @@
 }
 
 void HistoryReader::add_peer_message(Nanos now, const Entry& entry) {
-  const auto& said = entry.peer_said();
-  history_.peers.push_back({now, decode_id<PeerId>(said.peer()), said.message()});
+  const auto& encoded = entry.peer_said();
+  history_.peers.push_back({now, decode_id<PeerId>(encoded.peer()), encoded.message()});
 }
 
 simulation::History read_history(const std::vector<std::string>& files) {
--- a/src/replay/history.h
+++ b/src/replay/history.h
@@ -1,5 +1,5 @@
-/// Reads from a record what it tells of the fleet: times on one clock, one id for each name, and whole
-/// reports.
+/// Reads the history of a fleet from a record, with all times on one clock, one id for each replica name, and
+/// complete reports.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 
 namespace ospreypost::replay {
 
-/// Makes a history of entries, whoever has them: hand it each, then call `finish`.
+/// Builds a history from entries of any source. Callers pass all entries in order, then call `finish`.
 class HistoryReader : public record::RecordVisitor {
  public:
-  /// Entries with implausible numbers, and those before the first start, are left out.
+  /// Ignores entries with implausible numbers and entries before the first start.
   void on_entry(const kept::Entry& entry) override;
   void on_gap(std::uint64_t) override {}
-  /// Call it last. Throws `record::FormatError` if no start of a control plane was among the entries.
+  /// Returns the history; must be the last call. Throws `record::FormatError` if the entries contain no start
+  /// of a control plane instance.
   simulation::History finish(const record::Corruption& corruption);
 
  private:
@@ -35,16 +36,17 @@
   ReplicaId replica_id(std::uint32_t recorded_id);
 
   simulation::History history_;
-  std::int64_t first_wall_time_ = 0;  // of the first start, nanoseconds since 1970
-  Nanos clock_offset_{};              // from the present incarnation's clock to the record's time
+  std::int64_t first_wall_time_ = 0;  // time of the first start, nanoseconds since 1970
+  Nanos clock_offset_{};              // added to times of the current incarnation; gives times of the record
   discovery::NameTable<ReplicaId> names_;
-  std::map<std::uint32_t, ReplicaId> replica_ids_;  // by the present incarnation's ids
+  std::map<std::uint32_t, ReplicaId> replica_ids_;  // by the id in the current incarnation
   ReportAssembler reports_;
   std::uint64_t implausible_entries_ = 0;
 };
 
-/// Throws `record::StorageError` if a file cannot be read, and `record::FormatError` if one is no record or
-/// of a newer schema, or they hold no start of a control plane.
+/// Returns the history of the fleet in the record. Throws `record::StorageError` if a file cannot be read,
+/// and `record::FormatError` if a file is not a record or is a record of a newer schema, or if the files
+/// contain no start of a control plane instance.
 simulation::History read_history(const std::vector<std::string>& files);
 
 }  // namespace ospreypost::replay
--- a/src/replay/log_translation.cpp
+++ b/src/replay/log_translation.cpp
@@ -12,7 +12,7 @@
 };
 
 const std::array<Translation, 6>& translations() {
-  // Texts up to December 2026.
+  // Log texts of builds up to December 2026.
   static const std::array<Translation, 6> all{{
       {std::regex(R"(trip replica (\d+) for (\d+) ms)"), "breaker_opened replica=$1 cooldown_ms=$2"},
       {std::regex(R"(half-open replica (\d+))"), "breaker_half_opened replica=$1"},
--- a/src/replay/plausibility.h
+++ b/src/replay/plausibility.h
@@ -1,4 +1,4 @@
-/// Whether an entry can have been written by a control plane, as far as its numbers tell.
+/// Checks whether the numbers of an entry are within the range that a control plane writes.
 #pragma once
 
 namespace ospreypost::kept {
@@ -7,8 +7,9 @@
 
 namespace ospreypost::replay {
 
-/// False if a time, span, count or enumerator is beyond what a control plane writes: sums of a few such
-/// numbers would not fit their types. A block's checksum cannot tell that of a forged record.
+/// Returns false if a time, span, count or enumerator is outside of the range that a control plane writes.
+/// Sums of a few such numbers could overflow. The checksum of a block does not protect against a forged
+/// record.
 bool is_plausible(const kept::Entry& entry);
 
 }  // namespace ospreypost::replay
--- a/src/replay/pseudonyms.cpp
+++ b/src/replay/pseudonyms.cpp
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-const std::string& Pseudonyms::of(const std::string& kind, const std::string& name) {
+const std::string& Pseudonyms::name_for(const std::string& kind, const std::string& name) {
   return pseudonym(kind, name).text;
 }
 
-std::string Pseudonyms::of_address(const std::string& address) {
+std::string Pseudonyms::address_for(const std::string& address) {
   const std::size_t number = pseudonym("address", address).number;
   const std::size_t subnet = number / kAddressesInSubnet % kSubnets;
   const std::size_t host = 1 + number % kAddressesInSubnet;
@@ -23,9 +23,9 @@
 }
 
 const Pseudonyms::Pseudonym& Pseudonyms::pseudonym(const std::string& kind, const std::string& name) {
-  auto& pseudonyms = by_kind_[kind];
-  const auto known = pseudonyms.find(name);
-  if (known != pseudonyms.end()) return known->second;
+  auto& pseudonyms = pseudonyms_by_kind_[kind];
+  const auto found = pseudonyms.find(name);
+  if (found != pseudonyms.end()) return found->second;
   const std::size_t number = pseudonyms.size() + 1;
   return pseudonyms.emplace(name, Pseudonym{number, kind + "-" + std::to_string(number)}).first->second;
 }
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -16,8 +16,9 @@
 
 using kept::Entry;
 
-// A record made by an earlier build may log the same in other words.
-bool log_the_same(const Entry& recorded, const Entry& replayed, int position) {
+// Returns whether both actions at `position` log the same event. Earlier builds logged some events with other
+// texts.
+bool is_same_log_event(const Entry& recorded, const Entry& replayed, int position) {
   if (position >= recorded.orders_size() || position >= replayed.orders_size()) return false;
   const auto& earlier = recorded.orders(position);
   const auto& current = replayed.orders(position);
@@ -25,7 +26,8 @@
   return both_log && current_log_text(earlier.log()) == current.log();
 }
 
-// Actions are compared and digested in the form in which they are stored.
+// Returns the stored form of an action, in which actions are compared and hashed; empty if there is no
+// action.
 std::string serialized_action(const Entry& entry, int position) {
   std::string text;
   if (position < entry.orders_size()) entry.orders(position).SerializeToString(&text);
@@ -53,7 +55,7 @@
   }
 
  private:
-  // The controller would go on from a state that nobody knows.
+  // After a gap the state of the recorded controller is unknown, so the replay waits for the next start.
   void on_gap(std::uint64_t) override { controller_.reset(); }
   void on_entry(const Entry& entry) override;
   void on_action(const Action& action) override { record::encode_action(action, replayed_); }
@@ -102,14 +104,14 @@
       result_.digest = XXH3_64bits_withSeed(replayed.data(), replayed.size(), result_.digest);
       ++result_.actions;
     }
-    if (recorded == replayed || log_the_same(entry, replayed_, position)) continue;
+    if (recorded == replayed || is_same_log_event(entry, replayed_, position)) continue;
     report_difference(entry, position);
   }
 }
 
 void Replayer::report_difference(const Entry& entry, int position) {
   ++result_.differing_actions;
-  // Texts are made only for those who read them.
+  // Readable texts are only created if a caller uses them.
   if (result_.first_difference && !options_.on_difference) return;
   const Difference difference{Nanos(entry.at()), result_.events, readable_event(entry),
                               readable_action(entry, position), readable_action(replayed_, position)};
--- a/src/replay/replica_faults.cpp
+++ b/src/replay/replica_faults.cpp
@@ -11,15 +11,15 @@
 
 using namespace std::chrono_literals;
 
-// From this share of failed attempts on a spell is a fault.
+// Minimum share of failed attempts in a spell that counts as a fault.
 constexpr double kMinFaultFailureRatio = 0.2;
-// Between a crash and the endpoint list's notice of it.
+// Limits of the time between a crash and its notice, which is when the endpoint list shows the crash.
 constexpr Nanos kMinCrashNotice = 100ms;
 constexpr Nanos kMaxCrashNotice = 30s;
-// Spells of one kind that are closer are one fault; a shorter fault is left out.
+// Spells of one kind with a shorter gap form one fault. Faults below the minimum duration are left out.
 constexpr Nanos kMaxSpellGap = 500ms;
 constexpr Nanos kMinSpellDuration = 300ms;
-// A spell weighs in its fault by its duration, and never nothing.
+// Minimum weight of a spell in the averages of its fault; otherwise a spell is weighted by its duration.
 constexpr double kMinSpellSeconds = 1e-3;
 
 struct Absence {
@@ -27,15 +27,16 @@
   Nanos to{};
 };
 
-// What the endpoint lists so far show of a replica.
+// State of a replica according to the endpoint lists read so far.
 struct ListedState {
   bool was_ready = false;
   bool is_draining = false;
-  std::optional<Nanos> left_at;  // drained or gone; absent while it is ready
-  std::optional<Nanos> gone_at;  // of a drain: when it ended
+  std::optional<Nanos> left_at;  // when listed as draining or gone; empty while the replica is ready
+  std::optional<Nanos> gone_at;  // when listed as gone; ends a drain
 };
 
-// Adds drains and crashes, each until the replica is listed ready again.
+// Reads drains and crashes from the endpoint lists and adds them as faults. Each absence lasts until the
+// replica is listed as ready again.
 class AbsenceReader {
  public:
   AbsenceReader(const ScenarioSource& source, const ReplicaNames& names, FaultElements& faults)
@@ -43,14 +44,14 @@
 
   std::map<ReplicaId, std::vector<Absence>> read() {
     for (const auto& list : source_.history.lists) {
-      for (const auto& update : list.entries) take(list.at, update);
+      for (const auto& update : list.entries) apply_update(list.at, update);
     }
     for (auto& [replica, state] : states_) end_absence(replica, state, source_.history.length);
     return absences_;
   }
 
  private:
-  void take(Nanos now, const EndpointUpdate& update) {
+  void apply_update(Nanos now, const EndpointUpdate& update) {
     ListedState& state = states_[update.replica];
     switch (update.phase) {
       case EndpointPhase::ready:
@@ -59,18 +60,19 @@
         state.was_ready = true;
         return;
       case EndpointPhase::draining:
-        if (!state.left_at) leave(state, now, true);
+        if (!state.left_at) begin_absence(state, now, true);
         return;
       case EndpointPhase::gone:
-        if (!state.left_at) leave(state, now, false);
+        if (!state.left_at) begin_absence(state, now, false);
         state.gone_at = now;
         return;
     }
   }
 
-  static void leave(ListedState& state, Nanos now, bool draining) {
+  static void begin_absence(ListedState& state, Nanos now, bool draining) {
     state.is_draining = draining;
-    // At time 0 a list shows who is there, not who leaves.
+    // A list at time 0 shows the initial state; a replica listed as draining or gone there left before the
+    // record.
     if (now != 0ns) state.left_at = now;
   }
 
@@ -78,19 +80,20 @@
     if (!state.was_ready || !state.left_at) return;
     const Nanos listed_at = *state.left_at;
     const Nanos from = state.is_draining ? listed_at : crash_time(replica, listed_at);
-    const std::string own_attribute = attribute("replicas", names_.name_of(replica));
+    const std::string replicas_attribute = attribute("replicas", names_.name_of(replica));
     if (state.is_draining) {
       const Nanos drained_after = state.gone_at.value_or(now) - from;
-      faults_.add(from, now, "drain", own_attribute + attribute("leaves", duration_text(drained_after)));
+      faults_.add(from, now, "drain", replicas_attribute + attribute("leaves", duration_text(drained_after)));
     } else {
       const Nanos notice = std::min(std::max(listed_at - from, kMinCrashNotice), now - from);
-      faults_.add(from, now, "crash", own_attribute + attribute("notice", duration_text(notice)));
+      faults_.add(from, now, "crash", replicas_attribute + attribute("notice", duration_text(notice)));
     }
     absences_[replica].push_back({from, now});
     state.left_at.reset();
   }
 
-  // When its attempts began to fail, if they did until the list showed that it is gone.
+  // Returns when the attempts at the replica began to fail, if they failed until the list showed the replica
+  // as gone; otherwise the time of the list.
   Nanos crash_time(ReplicaId replica, Nanos listed_at) const {
     Nanos crashed_at = listed_at;
     const auto& spells = source_.fleet.replicas[static_cast<std::size_t>(replica)].spells;
@@ -109,7 +112,7 @@
   std::map<ReplicaId, std::vector<Absence>> absences_;
 };
 
-// The scenario's word for what a spell is; absent if it is no fault.
+// Returns the name of the scenario element for a spell, or nothing if the spell is not a fault.
 std::optional<std::string_view> fault_kind(const simulation::Spell& spell) {
   if (spell.fails >= kMinFaultFailureRatio) {
     const bool nearly_all_fail = spell.fails > 0.9;
@@ -121,23 +124,23 @@
   return std::nullopt;
 }
 
-// Spells of one kind that go on from each other.
+// Consecutive spells of one kind, merged to one fault.
 struct MergedSpell {
   std::optional<std::string_view> kind;
   Nanos from{};
   Nanos to{};
   double seconds = 0;
-  double failed_seconds = 0;    // weighted by the share of failed attempts
-  double slowness_seconds = 0;  // weighted by how many times as long attempts took
+  double failed_seconds = 0;    // sum of seconds times the share of failed attempts
+  double slowness_seconds = 0;  // sum of seconds times the slowdown factor of attempts
 };
 
 std::vector<MergedSpell> merge_adjacent(const std::vector<simulation::Spell>& spells) {
   std::vector<MergedSpell> merged;
   for (const auto& spell : spells) {
     const auto kind = fault_kind(spell);
-    const bool goes_on =
+    const bool continues_last =
         !merged.empty() && merged.back().kind == kind && spell.from - merged.back().to < kMaxSpellGap;
-    if (!goes_on) merged.push_back({kind, spell.from, spell.from, 0, 0, 0});
+    if (!continues_last) merged.push_back({kind, spell.from, spell.from, 0, 0, 0});
     MergedSpell& last = merged.back();
     const double seconds =
         std::max(kMinSpellSeconds, std::chrono::duration<double>(spell.to - spell.from).count());
@@ -167,11 +170,11 @@
   const auto absences = AbsenceReader(source, names, faults).read();
   for (std::size_t n = 0; n < source.fleet.replicas.size(); ++n) {
     const ReplicaId replica{static_cast<std::uint32_t>(n)};
-    const auto known = absences.find(replica);
+    const auto found = absences.find(replica);
     for (const auto& spell : merge_adjacent(source.fleet.replicas[n].spells)) {
       if (!spell.kind || spell.to - spell.from < kMinSpellDuration) continue;
-      // The absence's own fault covers it.
-      if (known != absences.end() && overlaps(known->second, spell.from, spell.to)) continue;
+      // The drain or crash already covers the spell.
+      if (found != absences.end() && overlaps(found->second, spell.from, spell.to)) continue;
       faults.add(spell.from, spell.to, std::string(*spell.kind),
                  attribute("replicas", names.name_of(replica)) + attributes_of(spell));
     }
--- a/src/replay/replica_faults.h
+++ b/src/replay/replica_faults.h
@@ -1,4 +1,4 @@
-/// What befell single replicas, as far as a record tells.
+/// Faults of single replicas that a record shows.
 #pragma once
 
 #include "replay/replica_names.h"
@@ -7,7 +7,7 @@
 
 namespace ospreypost::replay {
 
-/// Adds drains, crashes that the endpoint list shows, and spells in which attempts failed or were slow.
+/// Adds drains and crashes that the endpoint lists show, and spells in which attempts failed or were slow.
 void add_replica_faults(const ScenarioSource& source, const ReplicaNames& names, FaultElements& faults);
 
 }  // namespace ospreypost::replay
--- a/src/replay/replica_names.h
+++ b/src/replay/replica_names.h
@@ -1,4 +1,4 @@
-/// What a record's replicas are called in a scenario.
+/// Names in a scenario for the replicas of a record.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +10,16 @@
 
 namespace ospreypost::replay {
 
-/// A scenario lists alike replicas together and calls each by its zone and a number.
+/// Groups replicas with the same properties, as a scenario lists them, and names each replica by its zone and
+/// a number.
 class ReplicaNames {
  public:
   explicit ReplicaNames(const ScenarioSource& source);
 
-  /// Positions of replicas of one zone, hardware kind, number of cores and speed; each group, and all of
-  /// them, in the order of the record.
+  /// Groups of replica positions. The replicas of a group have the same zone, hardware kind, number of cores
+  /// and speed. The groups, and the replicas of each group, are in the order of the record.
   const std::vector<std::vector<std::size_t>>& groups() const { return groups_; }
-  /// Names in the scenario by those in the record.
+  /// Names in the scenario by the name in the record.
   const std::map<std::string, std::string>& by_recorded_name() const { return by_recorded_name_; }
   const std::string& name_of(ReplicaId replica) const;
 
--- a/src/replay/report_assembler.cpp
+++ b/src/replay/report_assembler.cpp
@@ -6,7 +6,7 @@
 namespace ospreypost::replay {
 namespace {
 
-// Lines of one report are recorded one after the other, within this.
+// Maximum time between the first and the last recorded line of one report.
 constexpr Nanos kMaxReportSpread = std::chrono::milliseconds(50);
 
 bool has_replica(const simulation::Report& report, ReplicaId replica) {
@@ -23,7 +23,8 @@
 
 void ReportAssembler::add_replica_line(const LineOrigin& origin, simulation::Met met) {
   simulation::Report* report = &current_report(origin);
-  // A report's replicas come before its demand, each once.
+  // A report lists each replica once, and all replicas before the demand. A line that breaks this order
+  // begins a new report.
   if (has_replica(*report, met.replica) || !report->asked.empty()) report = &begin_report(origin);
   report->met.push_back(std::move(met));
 }
@@ -52,7 +53,8 @@
   return std::exchange(reports_, {});
 }
 
-// The last report of the line's proxy, if it covers the same span and came just before; else a new one.
+// Returns the last report of the proxy if the report covers the same span and arrived just before the line;
+// otherwise begins a new report.
 simulation::Report& ReportAssembler::current_report(const LineOrigin& origin) {
   const auto last_report = last_reports_.find(origin.proxy);
   if (last_report == last_reports_.end()) return begin_report(origin);
--- a/src/replay/report_assembler.h
+++ b/src/replay/report_assembler.h
@@ -1,4 +1,5 @@
-/// Puts the reports of proxies together again from the lines that a record stores.
+/// Reassembles the reports of proxies from the lines that a record stores. A line is one recorded entry,
+/// which contains the part of a report about one replica or one request class.
 #pragma once
 
 #include <cstddef>
@@ -10,29 +11,30 @@
 
 namespace ospreypost::replay {
 
-/// Where and when a line of a report came from, in the record's time.
+/// The proxy and the times of a report line, in the time of the record.
 struct LineOrigin {
   Nanos arrived{};
   ProxyId proxy{};
-  Nanos late{};  ///< as in `record::Origin`
-  Nanos span{};  ///< that the report covers
+  Nanos late{};  ///< delay of the report, as in `record::Origin`
+  Nanos span{};  ///< length of the time that the report covers
 };
 
-/// Hand it each line in the order recorded.
+/// Joins report lines to reports. Callers pass all lines in the order of the record.
 class ReportAssembler {
  public:
-  /// What the proxy met at one replica.
+  /// Adds the attempts of the proxy at one replica.
   void add_replica_line(const LineOrigin& origin, simulation::Met met);
-  /// The same, of a record before schema 2: it does not tell the proxy.
+  /// Adds attempts at one replica from a record before schema 2, which does not store the proxy.
   void add_unattributed_line(Nanos arrived, Nanos span, simulation::Met met);
-  /// The proxy's demand of one class. Unattributed lines just before it are taken for the same proxy's.
+  /// Adds the demand of the proxy for one class. Unattributed lines of the same span that were recorded just
+  /// before are attributed to the same proxy.
   void add_demand_line(const LineOrigin& origin, const simulation::Asked& asked);
-  /// Lines from now on are of another incarnation, and go on with no report of the one before.
+  /// Begins another incarnation: later lines never extend a report of an earlier incarnation.
   void begin_incarnation() { last_reports_.clear(); }
 
-  /// Lines that were attributed by their order.
+  /// Number of lines that were attributed to a proxy by their order.
   std::uint64_t attributed_lines() const { return attributed_lines_; }
-  /// All reports, by arrival. Call it last.
+  /// Returns all reports, sorted by arrival; must be the last call.
   std::vector<simulation::Report> take_reports();
 
  private:
@@ -46,7 +48,7 @@
   simulation::Report& begin_report(const LineOrigin& origin);
 
   std::vector<simulation::Report> reports_;
-  std::map<ProxyId, std::size_t> last_reports_;  // positions in reports_
+  std::map<ProxyId, std::size_t> last_reports_;  // position of the last report of each proxy in reports_
   std::vector<UnattributedLine> unattributed_lines_;
   std::uint64_t attributed_lines_ = 0;
 };
--- a/src/replay/scenario_source.h
+++ b/src/replay/scenario_source.h
@@ -1,4 +1,4 @@
-/// What a scenario is made of.
+/// The data from which a scenario is created.
 #pragma once
 
 #include <string>
@@ -9,13 +9,14 @@
 
 namespace ospreypost::replay {
 
-/// A recorded time and the fleet model fitted to it; valid as long as what it refers to.
+/// A recorded history and the fleet model fitted to the history. Valid as long as the referenced objects
+/// exist.
 struct ScenarioSource {
   const simulation::History& history;
   const simulation::Deployment& deployment;
   const simulation::Fleet& fleet;
   const std::vector<std::string>& kinds;  ///< names of hardware kinds, by id
-  Nanos begin{};                          ///< of the scenario, in the record's time
+  Nanos begin{};                          ///< beginning of the scenario, in the time of the record
 
   const std::string& zone_name(ZoneId zone) const { return deployment.zones[static_cast<std::size_t>(zone)]; }
   const std::string& proxy_name(ProxyId proxy) const {
--- a/src/replay/scenario_xml.cpp
+++ b/src/replay/scenario_xml.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxDecimalBytes = 40;
 
 std::string text_of(const FaultElement& fault) {
-  return "    <" + fault.name + attribute("at", duration_text(fault.at)) +
+  return "    <" + fault.name + attribute("at", duration_text(fault.begin)) +
          attribute("for", duration_text(fault.duration)) + fault.attributes + "/>\n";
 }
 
@@ -29,7 +29,7 @@
 }
 
 std::string comment_text(std::string text) {
-  // Two dashes would end the comment.
+  // XML does not allow two consecutive dashes in a comment.
   auto dashes = text.find("--");
   while (dashes != std::string::npos) {
     text.replace(dashes, 2, "- -");
@@ -50,12 +50,13 @@
 
 std::string FaultElements::text() const {
   std::vector<FaultElement> faults = elements_;
-  std::stable_sort(faults.begin(), faults.end(),
-                   [](const FaultElement& left, const FaultElement& right) { return left.at < right.at; });
+  std::stable_sort(faults.begin(), faults.end(), [](const FaultElement& left, const FaultElement& right) {
+    return left.begin < right.begin;
+  });
   std::string text;
   if (faults.size() > kMaxFaults) {
     const std::size_t left_out = faults.size() - kMaxFaults;
-    text += "  <!-- " + std::to_string(left_out) + " later troubles are left out. -->\n";
+    text += "  <!-- " + std::to_string(left_out) + " later faults are left out. -->\n";
     faults.resize(kMaxFaults);
   }
   if (faults.empty()) return text;
--- a/src/replay/scenario_xml.h
+++ b/src/replay/scenario_xml.h
@@ -1,4 +1,4 @@
-/// The parts of a scenario's file.
+/// Formats the parts of a scenario file.
 #pragma once
 
 #include <string>
@@ -8,33 +8,33 @@
 
 namespace ospreypost::replay {
 
-/// With three decimals.
+/// Returns the value with three decimals.
 std::string decimal_text(double value);
-/// In seconds, such as "1.500 s"; negative durations count as 0.
+/// Returns the duration in seconds, such as "1.500 s"; negative durations count as 0.
 std::string duration_text(Nanos duration);
-/// The text so that it can stand in a comment.
+/// Returns the text in a form that is valid inside an XML comment.
 std::string comment_text(std::string text);
-/// Such as ` name="value"`, with the space before it. The value must need no escapes.
+/// Returns an XML attribute with a leading space, such as ` name="value"`. The value is not escaped.
 std::string attribute(const std::string& name, const std::string& value);
 
-/// One fault of a scenario.
+/// The XML element of one fault of a scenario.
 struct FaultElement {
-  Nanos at{};  ///< since the scenario's beginning
+  Nanos begin{};  ///< time since the beginning of the scenario
   Nanos duration{};
   std::string name;
-  std::string attributes;  ///< beyond its time and duration
+  std::string attributes;  ///< XML attributes other than time and duration
 };
 
-/// Faults of a scenario that begins and ends at these times of a record.
+/// The faults of a scenario that covers a span of a record's time.
 class FaultElements {
  public:
   FaultElements(Nanos begin, Nanos end) : begin_(begin), end_(end) {}
 
-  /// A fault between two times of the record, as far as it lies in the scenario; else none.
+  /// Adds the part of a fault that is within the scenario, if any. `from` and `to` are times of the record.
   void add(Nanos from, Nanos to, const std::string& name, const std::string& attributes);
 
-  /// All faults by time, as the element that holds them; empty text if there are none. Faults that are more
-  /// than a scenario may have are left out, and counted in a comment.
+  /// Returns the XML element with all faults, sorted by time; empty if there are no faults. Faults beyond the
+  /// maximum number in a scenario are left out, and their number is given in an XML comment.
   std::string text() const;
 
  private:
--- a/src/replay/service_faults.cpp
+++ b/src/replay/service_faults.cpp
@@ -10,12 +10,12 @@
 
 using namespace std::chrono_literals;
 
-// A report that comes later is late.
+// Minimum delay of a report that counts as late.
 constexpr Nanos kMinLateness = 500ms;
 constexpr Nanos kBurstSpan = 2s;
-// Times the usual requests.
+// Minimum number of requests in a burst, as a multiple of the median number.
 constexpr double kMinBurstFactor = 1.4;
-// What chance brings stays below, in standard deviations.
+// Minimum excess of a burst over the median, in standard deviations; random variation stays below.
 constexpr double kMinBurstDeviations = 4;
 
 void add_restarts(const ScenarioSource& source, FaultElements& faults) {
@@ -24,7 +24,7 @@
     faults.add(incarnations[n - 1].to, incarnations[n].from, "governor-killed", "");
 }
 
-// A proxy that left, and joined again in the same incarnation, could not be reached between.
+// A proxy that left and joined again in the same incarnation was unreachable in between.
 void add_unreachable_proxies(const ScenarioSource& source, FaultElements& faults) {
   std::map<ProxyId, Nanos> left_at;
   for (const auto& membership : source.history.memberships) {
@@ -32,15 +32,15 @@
       left_at[membership.proxy] = membership.at;
       continue;
     }
-    const auto known = left_at.find(membership.proxy);
-    if (known == left_at.end()) continue;
-    faults.add(known->second, membership.at, "cut",
+    const auto found = left_at.find(membership.proxy);
+    if (found == left_at.end()) continue;
+    faults.add(found->second, membership.at, "cut",
                attribute("proxies", source.proxy_name(membership.proxy)));
-    left_at.erase(known);
+    left_at.erase(found);
   }
 }
 
-// A time in which a proxy's reports came late.
+// A span of time in which the reports of a proxy were late.
 struct LateSpan {
   Nanos from{};
   Nanos duration{};
@@ -54,23 +54,24 @@
 }
 
 void add_late_reports(const ScenarioSource& source, FaultElements& faults) {
-  std::map<ProxyId, LateSpan> open;
+  std::map<ProxyId, LateSpan> open_spans;
   for (const auto& report : source.history.reports) {
     const Nanos lateness = report.arrived - report.to;
-    const auto known = open.find(report.proxy);
+    const auto found = open_spans.find(report.proxy);
     if (lateness >= kMinLateness) {
-      LateSpan& span = open.try_emplace(report.proxy, LateSpan{report.to, 0ns, 0ns}).first->second;
+      LateSpan& span = open_spans.try_emplace(report.proxy, LateSpan{report.to, 0ns, 0ns}).first->second;
       span.duration = std::max(span.duration, report.to - span.from + 1ms);
       span.max_lateness = std::max(span.max_lateness, lateness);
-    } else if (known != open.end()) {
-      add_late_span(source, report.proxy, known->second, faults);
-      open.erase(known);
+    } else if (found != open_spans.end()) {
+      add_late_span(source, report.proxy, found->second, faults);
+      open_spans.erase(found);
     }
   }
-  for (const auto& [proxy, span] : open) add_late_span(source, proxy, span, faults);
+  for (const auto& [proxy, span] : open_spans) add_late_span(source, proxy, span, faults);
 }
 
-// Requests in each span of the scenario, without those that are repeats of failed ones.
+// Returns the number of requests in each span of the scenario, without the estimated repeats of failed
+// requests.
 std::vector<double> requests_by_span(const ScenarioSource& source) {
   const Nanos length = source.history.length - source.begin;
   std::vector<double> requests(static_cast<std::size_t>(length / kBurstSpan));
--- a/src/replay/service_faults.h
+++ b/src/replay/service_faults.h
@@ -1,4 +1,4 @@
-/// What befell the control plane, its proxies and their traffic, as far as a record tells.
+/// Faults of the control plane and of proxies, and bursts of traffic, that a record shows.
 #pragma once
 
 #include "replay/scenario_source.h"
@@ -6,11 +6,11 @@
 
 namespace ospreypost::replay {
 
-/// Adds times between two incarnations of the control plane, proxies that could not be reached, and late
-/// reports.
+/// Adds restarts of the control plane (the times between two incarnations), times in which a proxy was
+/// unreachable, and late reports.
 void add_connection_faults(const ScenarioSource& source, FaultElements& faults);
 
-/// Adds bursts of requests.
+/// Adds the times in which clearly more requests arrived than usual.
 void add_bursts(const ScenarioSource& source, FaultElements& faults);
 
 }  // namespace ospreypost::replay
--- a/tests/program/history_test.cpp
+++ b/tests/program/history_test.cpp
@@ -1,4 +1,4 @@
-// A record read as the history of a fleet.
+// Reads the history of a fleet from records.
 #include "replay/history.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using test::RegisteredEndpoint;
 using test::replay_as_recorded;
 
-// Schema 1 does not say whose lines of a report are, nor how late.
+// Schema 1 stores neither the proxy nor the delay of a report.
 void clear_fields_of_schema2(kept::Entry& entry) {
   if (entry.has_replica_summed()) {
     entry.mutable_replica_summed()->clear_proxy();
@@ -27,7 +27,7 @@
   if (entry.has_demand_summed()) entry.mutable_demand_summed()->clear_late();
 }
 
-// Appends the blocks of a file as schema 1 has them.
+// Appends the blocks of a file to `text` in the form of schema 1.
 void append_blocks_of_schema1(const std::string& file, std::string& text) {
   const std::string recorded = record::read_file(file);
   record::BlockReader reader(recorded);
@@ -56,7 +56,7 @@
   EXPECT_EQ(history.reports.front().met.size(), 2U);
 }
 
-TEST(HistoryReaderTest, KnowsReplicasByNameThroughAllIncarnations) {
+TEST(HistoryReaderTest, IdentifiesReplicasByNameAcrossIncarnations) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y", "z"});
   record_incarnation(folder.in("a"), 500s, {"z", "x"});
@@ -64,7 +64,7 @@
   EXPECT_EQ(history.lives.size(), 2U);
   EXPECT_EQ(history.replicas, (std::vector<std::string>{"x", "y", "z"}));
   ASSERT_EQ(history.reports.size(), 16U);
-  // In the second incarnation z is its first: 0 of 9 attempts failed there.
+  // Replica z is the first of the second incarnation, so 0 of the 9 attempts at z failed there.
   const auto& last = history.reports.back();
   ASSERT_EQ(last.met.size(), 2U);
   EXPECT_EQ(last.met[0].replica, ReplicaId{2});
--- a/tests/program/log_translation_test.cpp
+++ b/tests/program/log_translation_test.cpp
@@ -1,4 +1,4 @@
-/// Records made before the log lines were events still replay: their texts are translated.
+/// Checks the translation of log texts, which lets records of builds before the structured log events replay.
 #include "replay/log_translation.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   EXPECT_EQ(current_log_text("doubt the list: 12 dropped"), log_events::endpoint_list_doubted(12));
 }
 
-TEST(LogTranslationTest, LeavesEveryOtherText) {
+TEST(LogTranslationTest, ReturnsOtherTextsUnchanged) {
   for (const auto* text : {"", "breaker_opened replica=4 cooldown_ms=2000", "trip replica x for 2000 ms",
                            "half-open replica 4 again"}) {
     EXPECT_EQ(current_log_text(text), text);
--- a/tests/program/plausibility_test.cpp
+++ b/tests/program/plausibility_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t kHourNanos = std::int64_t{3600} * 1'000'000'000;
 
-TEST(PlausibilityTest, TakesWhatAControlPlaneWrites) {
+TEST(PlausibilityTest, AcceptsValuesThatAControlPlaneWrites) {
   kept::Entry entry;
   entry.set_at(1);
   auto& report = *entry.mutable_replica_summed();
@@ -22,7 +22,7 @@
   EXPECT_TRUE(is_plausible(entry));
 }
 
-TEST(PlausibilityTest, RefusesTimesOfWhichSumsWouldNotFit) {
+TEST(PlausibilityTest, RejectsTimesWhoseSumsWouldOverflow) {
   kept::Entry entry;
   entry.set_at(std::numeric_limits<std::int64_t>::max());
   EXPECT_FALSE(is_plausible(entry));
@@ -31,7 +31,7 @@
   EXPECT_FALSE(is_plausible(entry));
 }
 
-TEST(PlausibilityTest, RefusesSpansThatAreNegativeOrLongerThanAnHour) {
+TEST(PlausibilityTest, RejectsSpansThatAreNegativeOrLongerThanAnHour) {
   kept::Entry entry;
   entry.mutable_demand_summed()->set_span(-1);
   EXPECT_FALSE(is_plausible(entry));
@@ -39,14 +39,14 @@
   EXPECT_FALSE(is_plausible(entry));
 }
 
-TEST(PlausibilityTest, RefusesMoreFailuresThanAttempts) {
+TEST(PlausibilityTest, RejectsMoreFailuresThanAttempts) {
   kept::Entry entry;
   entry.mutable_replica_summed()->set_tries(1);
   entry.mutable_replica_summed()->set_failed(2);
   EXPECT_FALSE(is_plausible(entry));
 }
 
-TEST(PlausibilityTest, RefusesEnumeratorsAndWeightsThatAreNone) {
+TEST(PlausibilityTest, RejectsUnknownEnumeratorsAndInfiniteWeights) {
   kept::Entry entry;
   entry.mutable_list_received()->set_kind(3);
   EXPECT_FALSE(is_plausible(entry));
--- a/tests/program/record_edit_test.cpp
+++ b/tests/program/record_edit_test.cpp
@@ -1,4 +1,4 @@
-// Records of records: listed in any order, cut, merged, dumped and anonymised.
+// Operations on existing records: listing files, cutting, merging, dumping and anonymising.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -26,7 +26,8 @@
 using test::RegisteredEndpoint;
 using test::replay_as_recorded;
 
-// A record of one start alone, by a clock that runs years ahead. Returns its file.
+// Writes a record that contains only a start entry, with a wall clock that is set ahead to the end of 2039.
+// Returns the path of its file.
 std::string record_start_years_ahead(const std::string& folder) {
   RecordCopier copier(folder);
   const Nanos years_ahead = std::chrono::hours(24 * 365 * 70);
@@ -39,7 +40,7 @@
   return list_files({folder}).front();
 }
 
-TEST(ListFilesTest, GivesFilesInTheirOrderAndEachOnce) {
+TEST(ListFilesTest, ReturnsFilesInOrderWithoutDuplicates) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   record_incarnation(folder.in("a"), 100s, {"y", "x"});
@@ -50,7 +51,7 @@
   auto reversed = std::vector<std::string>(files.rbegin(), files.rend());
   EXPECT_EQ(list_files(reversed), files);
 
-  // Under another name the header still tells where it belongs.
+  // A copy under another name is recognised as the same file by its header and contents.
   fs::copy_file(files.front(), folder.in("zzz.rec"));
   reversed.push_back(folder.in("zzz.rec"));
   const auto without_copy = list_files(reversed);
@@ -58,19 +59,19 @@
   EXPECT_EQ(replay_as_recorded(without_copy).digest, digest);
 }
 
-TEST(ListFilesTest, KeepsTheOrderOfIncarnationsWhenTheClockWasSetBack) {
+TEST(ListFilesTest, KeepsTheOrderOfIncarnationsAfterTheClockWasSetBack) {
   const RegisteredEndpoint folder;
   fs::create_directories(folder.in("a"));
-  const std::string ahead = record_start_years_ahead(folder.in("ahead"));
-  fs::copy_file(ahead, fs::path(folder.in("a")) / fs::path(ahead).filename());
+  const std::string ahead_file = record_start_years_ahead(folder.in("ahead"));
+  fs::copy_file(ahead_file, fs::path(folder.in("a")) / fs::path(ahead_file).filename());
   record_incarnation(folder.in("a"), 5s, {"x"});
   const auto files = list_files({folder.in("a")});
   ASSERT_GE(files.size(), 2U);
-  EXPECT_EQ(fs::path(files.front()).filename(), fs::path(ahead).filename());
+  EXPECT_EQ(fs::path(files.front()).filename(), fs::path(ahead_file).filename());
 }
 
-// As a full disk leaves it.
-TEST(VisitRecordTest, CountsAFileWithoutAByteAsCorrupt) {
+// A full disk leaves empty files.
+TEST(VisitRecordTest, CountsAnEmptyFileAsCorrupt) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x"});
   const std::ofstream empty_file(folder.in("a") + "/002000000000000-000000.rec");
@@ -80,14 +81,15 @@
   EXPECT_EQ(result.skipped_events, 0U);
 }
 
-// A plain message, or the blocks are all there and the corruption is told.
-TEST(BlockReaderTest, RefusesOrCountsAFileHeaderWithAByteFlippedAnywhere) {
+// A flipped byte in the file header either causes an error, or all blocks are still found and a corrupt
+// region is counted.
+TEST(BlockReaderTest, RejectsOrCountsAFileHeaderWithAnyByteFlipped) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x"}, 2);
   const std::string whole = read_file(list_files({folder.in("a")}).front());
   const FoundBlocks found = find_blocks(whole);
   ASSERT_EQ(found.corrupt_regions, 0U);
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (std::size_t position = 0; position < encode_file_header().size(); ++position) {
     std::string flipped = whole;
     flipped[position] = static_cast<char>(flipped[position] ^ 0x40);
@@ -96,40 +98,40 @@
       EXPECT_EQ(found_in_flipped.entries(), found.entries()) << position;
       EXPECT_GE(found_in_flipped.corrupt_regions, 1U) << position;
     } catch (const net::Error&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_EQ(refused, 8U);  // the magic and the schema
+  EXPECT_EQ(rejected, 8U);  // 6 bytes of the magic and 2 bytes of the schema
 }
 
-TEST(CutTest, KeepsTheBeginningSoThatItReplays) {
+TEST(CutTest, KeepsABeginningThatReplays) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
   EXPECT_GT(cut(files, {0s, 4500ms}, folder.in("beginning")), 0U);
-  const auto beginning = list_files({folder.in("beginning")});
-  const auto result = replay_as_recorded(beginning);
+  const auto beginning_files = list_files({folder.in("beginning")});
+  const auto result = replay_as_recorded(beginning_files);
   EXPECT_TRUE(result.is_identical());
   EXPECT_EQ(result.skipped_events, 0U);
-  EXPECT_EQ(replay::read_history(beginning).reports.size(), 4U);
+  EXPECT_EQ(replay::read_history(beginning_files).reports.size(), 4U);
 }
 
-TEST(CutTest, KeepsWhoIsThereAndMarksWhatIsMissing) {
+TEST(CutTest, KeepsFleetEntriesAndMarksMissingEntries) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
   cut(files, {4500ms, Nanos::max()}, folder.in("end"));
-  const auto end = list_files({folder.in("end")});
-  const auto result = replay_as_recorded(end);
+  const auto end_files = list_files({folder.in("end")});
+  const auto result = replay_as_recorded(end_files);
   EXPECT_GT(result.lost_entries, 0U);
   EXPECT_GT(result.skipped_events, 0U);
-  const auto history = replay::read_history(end);
+  const auto history = replay::read_history(end_files);
   EXPECT_EQ(history.replicas.size(), 2U);
   EXPECT_EQ(history.memberships.size(), 1U);
   EXPECT_EQ(history.reports.size(), 4U);
 }
 
-TEST(CutTest, OverwritesNothing) {
+TEST(CutTest, DoesNotOverwriteARecord) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"});
   const auto files = list_files({folder.in("a")});
@@ -137,16 +139,16 @@
   EXPECT_THROW(cut(files, {}, folder.in("end")), net::Error);
 }
 
-TEST(MergeTest, PutsFoldersIntoOne) {
+TEST(MergeTest, CopiesSeveralFoldersIntoOne) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x"});
   record_incarnation(folder.in("b"), 300s, {"x"});
   const auto files = list_files({folder.in("b"), folder.in("a"), folder.in("b")});
   merge(files, folder.in("both"));
-  const auto apart = replay_as_recorded(files);
-  const auto together = replay_as_recorded(list_files({folder.in("both")}));
-  EXPECT_EQ(together.incarnations, 2U);
-  EXPECT_EQ(together.digest, apart.digest);
+  const auto separate_result = replay_as_recorded(files);
+  const auto merged_result = replay_as_recorded(list_files({folder.in("both")}));
+  EXPECT_EQ(merged_result.incarnations, 2U);
+  EXPECT_EQ(merged_result.digest, separate_result.digest);
 }
 
 TEST(AnonymiseTest, ReplacesAllNamesAndChangesNoAction) {
@@ -155,19 +157,19 @@
   record_incarnation(folder.in("a"), 300s, {"secret-unit"});
   const auto files = list_files({folder.in("a")});
   replay::anonymise(files, folder.in("anonymous"));
-  const auto anonymous = list_files({folder.in("anonymous")});
-  EXPECT_EQ(replay_as_recorded(anonymous).digest, replay_as_recorded(files).digest);
+  const auto anonymous_files = list_files({folder.in("anonymous")});
+  EXPECT_EQ(replay_as_recorded(anonymous_files).digest, replay_as_recorded(files).digest);
   std::string text;
-  dump(anonymous, {}, false, [&](Nanos, const std::string& line) { text += line; });
+  dump(anonymous_files, {}, false, [&](Nanos, const std::string& line) { text += line; });
   for (const char* name :
        {"secret-unit", "forwarder", "sign-job", "farm.example", R"(\"east\")", "127.0.0.1:7001"})
     EXPECT_EQ(text.find(name), std::string::npos) << name;
-  // The same one everywhere.
-  const auto history = replay::read_history(anonymous);
+  // A name has the same pseudonym in all incarnations.
+  const auto history = replay::read_history(anonymous_files);
   EXPECT_EQ(history.replicas, (std::vector<std::string>{"replica-1", "replica-2"}));
 }
 
-TEST(DumpTest, GivesOnlyEntriesOfTheWindow) {
+TEST(DumpTest, WritesOnlyEntriesWithinTheWindow) {
   const RegisteredEndpoint folder;
   record_incarnation(folder.in("a"), 5s, {"x", "y"}, 60);
   std::size_t lines = 0;
--- a/tests/program/record_support.h
+++ b/tests/program/record_support.h
@@ -1,4 +1,4 @@
-/// What tests of records share: recorded incarnations of a control plane, and their replay.
+/// Helpers for tests of records: recording incarnations of a control plane, and replaying them.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace ospreypost::test {
 
-/// Small files, so that a record has several.
+/// Maximum file size in bytes; small, so that a record consists of several files.
 inline constexpr std::uint64_t kSmallFileBytes = 2000;
 
 inline std::vector<EndpointUpdate> ready_replicas(std::size_t count) {
@@ -24,13 +24,14 @@
   return updates;
 }
 
-/// Records one incarnation with the small configuration: replicas named in the order given, one proxy, and a
-/// report each second. Of 9 attempts as many fail as the replica's id says; report n is n ms late.
+/// Records one incarnation with the small configuration: replicas with these names and ids in the order of
+/// `names`, one proxy, and one report of the proxy per second. Of the 9 attempts at the replica with id n, n
+/// fail; the report number n is n ms late.
 inline void record_incarnation(const std::string& folder, Nanos begin, const std::vector<std::string>& names,
                                int reports = 8) {
   const auto config = config::parse_config(small_config_text(), "small");
   record::Writer writer({folder, 1U << 30, kSmallFileBytes});
-  ActionHandler actions;  // ignores them
+  ActionHandler actions;  // ignores all actions
   record::RecordingController controller(config::module_settings(config), config.seed, begin, actions,
                                          &writer, config.text);
   for (std::uint32_t n = 0; n < names.size(); ++n) controller.on_replica_named(begin, ReplicaId{n}, names[n]);
@@ -50,7 +51,7 @@
   }
 }
 
-/// Replays with the configurations that were recorded.
+/// Replays a record with its recorded configurations.
 inline replay::ReplayResult replay_as_recorded(const std::vector<std::string>& files) {
   replay::Options options;
   options.load_config = [](const std::string& text) {
@@ -60,7 +61,7 @@
   return replay::replay(files, options);
 }
 
-/// What a `BlockReader` finds in a text.
+/// The blocks and corrupt regions that a `BlockReader` finds in a text.
 struct FoundBlocks {
   std::vector<record::BlockHeader> headers;
   std::size_t corrupt_regions = 0;
--- a/tests/program/record_test.cpp
+++ b/tests/program/record_test.cpp
@@ -1,4 +1,4 @@
-// Records: what a crash, a flipped byte or a slow disk leaves of them.
+// Reading and writing records after a crash, with corrupt bytes, and with a slow disk.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -22,7 +22,7 @@
 
 constexpr std::size_t kBlocks = 3;
 
-// Three blocks of one entry each, of equal size, at the times 1, 2 and 3.
+// Returns a file with three blocks of equal size, each with one entry, at the times 1, 2 and 3 ns.
 std::string three_blocks() {
   std::string text = encode_file_header();
   for (std::int64_t n = 1; n <= 3; ++n) {
@@ -38,7 +38,7 @@
   return times;
 }
 
-TEST(BlockReaderTest, FindsAllWholeBlocksOfAFileCutAnywhere) {
+TEST(BlockReaderTest, FindsAllCompleteBlocksOfATruncatedFile) {
   const std::string whole = three_blocks();
   const std::size_t header_bytes = encode_file_header().size();
   const std::size_t block_bytes = (whole.size() - header_bytes) / kBlocks;
@@ -49,7 +49,7 @@
   }
 }
 
-TEST(BlockReaderTest, SkipsAndCountsABlockWithAByteFlippedAnywhere) {
+TEST(BlockReaderTest, SkipsAndCountsABlockWithAnyByteFlipped) {
   const std::string whole = three_blocks();
   const std::size_t header_bytes = encode_file_header().size();
   const std::size_t block_bytes = (whole.size() - header_bytes) / kBlocks;
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(BlockReaderTest, RefusesANewerSchemaAndWhatIsNoRecord) {
+TEST(BlockReaderTest, RejectsANewerSchemaAndATextThatIsNoRecord) {
   std::string text = three_blocks();
   text[6] = static_cast<char>(kSchemaVersion + 1);
   try {
@@ -82,21 +82,21 @@
   EXPECT_EQ(found.corrupt_regions, 1U);
 }
 
-TEST(WriterTest, NeverWaitsForTheDiskAndCountsWhatIsLost) {
+TEST(WriterTest, DoesNotWaitForTheDiskAndCountsLostEntries) {
   const RegisteredEndpoint folder;
-  std::atomic<bool> stuck = true;
+  std::atomic<bool> is_disk_blocked = true;
   const std::string entry(8000, 'x');
   constexpr std::uint64_t kAppended = 2000;
-  std::uint64_t counted_lost = 0;
+  std::uint64_t lost_by_counts = 0;
   {
     Writer writer({folder.path.string()}, [&] {
-      while (stuck) std::this_thread::sleep_for(1ms);
+      while (is_disk_blocked) std::this_thread::sleep_for(1ms);
     });
     for (std::uint64_t n = 0; n < kAppended; ++n) writer.append(Nanos(n), entry);
     EXPECT_GT(writer.counts().lost, 0U);
-    stuck = false;
+    is_disk_blocked = false;
     writer.stop();
-    counted_lost = writer.counts().lost;
+    lost_by_counts = writer.counts().lost;
   }
   std::uint64_t stored = 0;
   std::uint64_t lost_by_headers = 0;
@@ -107,9 +107,9 @@
     }
   }
   EXPECT_GT(stored, 0U);
-  EXPECT_EQ(stored + counted_lost, kAppended);
-  // What was lost at the very end has no block after it.
-  EXPECT_LE(lost_by_headers, counted_lost);
+  EXPECT_EQ(stored + lost_by_counts, kAppended);
+  // Losses after the last stored block are not stated in any block header.
+  EXPECT_LE(lost_by_headers, lost_by_counts);
 }
 
 TEST(WriterTest, StoresNoMoreThanItsRetentionPolicyAllows) {
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -1,4 +1,4 @@
-// Replay: the same events lead to the same actions, and what differs is named.
+// Replays records: the same events lead to the same actions, and differing actions are reported.
 #include "replay/replay.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 
 constexpr std::uint64_t kSeed = 5;
 
-// Remembers the timers that the controller started.
+// Collects the timers that the controller starts.
 class TimerCollector : public ActionHandler {
  public:
   using ActionHandler::handle;
@@ -41,13 +41,13 @@
 
 ZoneId zone_of(std::uint16_t proxy) { return ZoneId{static_cast<std::uint16_t>(proxy % 2)}; }
 
-// Lists, reports, joins and timers in any order, late ones too.
-class AnyEvents {
+// Generates endpoint lists, reports, joining and leaving proxies and expired timers in random order.
+class RandomEvents {
  public:
-  explicit AnyEvents(RecordingController& controller, TimerCollector& collector)
+  explicit RandomEvents(RecordingController& controller, TimerCollector& collector)
       : controller_(controller), collector_(collector) {}
 
-  void make(Nanos now) {
+  void generate(Nanos now) {
     const ReplicaId replica{*rc::gen::inRange<std::uint32_t>(0, 6)};
     const auto proxy = *rc::gen::inRange<std::uint16_t>(0, 3);
     switch (*rc::gen::inRange(0, 5)) {
@@ -97,21 +97,21 @@
   std::set<std::uint16_t> joined_;
 };
 
-void record_any_events(const std::string& folder) {
+void record_random_events(const std::string& folder) {
   Writer writer({folder});
   TimerCollector collector;
   Nanos now = 1s;
   RecordingController controller(small_settings(), kSeed, now, collector, &writer, "x");
-  AnyEvents events(controller, collector);
+  RandomEvents events(controller, collector);
   for (int n = *rc::gen::inRange(1, 80); n > 0; --n) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
-    events.make(now);
+    events.generate(now);
   }
 }
 
 RC_GTEST_PROP(ReplayTest, LeadsToTheSameActions, ()) {
   const RegisteredEndpoint folder;
-  record_any_events(folder.path.string());
+  record_random_events(folder.path.string());
 
   const auto files = record::list_files({folder.path.string()});
   const ReplayResult result = replay_small(files);
@@ -122,7 +122,7 @@
   RC_ASSERT(replay_small(files).digest == result.digest);
 }
 
-// The payload of a record that holds a start alone.
+// Returns the payload of a record that contains only a start entry.
 std::string recorded_start(const std::string& folder) {
   {
     TimerCollector collector;
@@ -133,7 +133,7 @@
   return record::BlockReader(text).next()->payload;
 }
 
-TEST(ReplayTest, NamesTheFirstDifferenceAndSkipsEventsAfterAGap) {
+TEST(ReplayTest, ReportsTheFirstDifferenceAndSkipsEventsAfterAGap) {
   const RegisteredEndpoint folder;
   kept::Block altered_start;
   ASSERT_TRUE(altered_start.ParseFromString(recorded_start(folder.in("start"))));
