--- a/src/record/blocks.h
+++ b/src/record/blocks.h
@@ -30,7 +30,7 @@
   std::uint16_t schema = kSchemaVersion;
   Nanos wall_time{};         ///< wall time of the first entry, since 1970; 0 if unknown
   Nanos clock_time{};        ///< monotonic clock time of the first entry; 0 if unknown
-  std::uint32_t number = 0;  ///< position among the files of the incarnation, from 0
+  std::uint32_t number = 0;  ///< position of the file among the files of the incarnation, from 0
 };
 
 struct BlockHeader {
@@ -64,7 +64,7 @@
   /// outside of the window is skipped without decompression if another block follows directly after it;
   /// otherwise the block is returned as well.
   void restrict_to(Nanos from, Nanos to);
-  /// Number of regions of bytes so far that are not an intact block.
+  /// Number of byte ranges read so far that contain no intact block.
   std::size_t corrupt_regions() const { return corrupt_regions_; }
 
  private:
--- a/src/record/reader.h
+++ b/src/record/reader.h
@@ -28,8 +28,8 @@
 
 /// Amount of missing and unreadable data in a record.
 struct Corruption {
-  std::uint64_t lost_entries = 0;     ///< entries that were not stored, as stated by the record
-  std::uint64_t corrupt_regions = 0;  ///< regions of bytes that are not an intact block
+  std::uint64_t lost_entries = 0;     ///< number of entries that were not stored, as stated by the record
+  std::uint64_t corrupt_regions = 0;  ///< number of byte ranges that contain no intact block
 };
 
 /// Returns the record files at `paths` (folders and single files), oldest first regardless of the order of
--- a/src/record/recording_controller.h
+++ b/src/record/recording_controller.h
@@ -29,7 +29,8 @@
                       Writer* writer, const std::string& configuration);
   ~RecordingController() override;
 
-  // Same events as those of `Controller`. `origin` is only recorded, and not passed to the controller.
+  // These methods receive the same events as those of `Controller`. `origin` is only recorded, not passed to
+  // the controller.
 
   void on_endpoint_list(Nanos now, EndpointListKind kind, const std::vector<EndpointUpdate>& entries);
   void on_endpoint_list_failed(Nanos now);
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -37,7 +37,8 @@
     begin_incarnation(entry);
     return;
   }
-  // The beginning of the record is missing, so the configuration of these entries is unknown.
+  // Entries before the first start are ignored: the beginning of the record is missing, so their
+  // configuration is unknown.
   if (history_.lives.empty()) return;
   const Nanos now = Nanos(entry.at()) + clock_offset_;
   history_.lives.back().to = std::max(history_.lives.back().to, now);
--- a/src/replay/history.h
+++ b/src/replay/history.h
@@ -37,9 +37,9 @@
 
   simulation::History history_;
   std::int64_t first_wall_time_ = 0;  // time of the first start, nanoseconds since 1970
-  Nanos clock_offset_{};              // added to times of the current incarnation; gives times of the record
+  Nanos clock_offset_{};              // time of the record minus time on the incarnation's clock
   discovery::NameTable<ReplicaId> names_;
-  std::map<std::uint32_t, ReplicaId> replica_ids_;  // by the id in the current incarnation
+  std::map<std::uint32_t, ReplicaId> replica_ids_;  // ids in the history by the id in the current incarnation
   ReportAssembler reports_;
   std::uint64_t implausible_entries_ = 0;
 };
--- a/src/replay/replica_faults.cpp
+++ b/src/replay/replica_faults.cpp
@@ -31,8 +31,8 @@
 struct ListedState {
   bool was_ready = false;
   bool is_draining = false;
-  std::optional<Nanos> left_at;  // when listed as draining or gone; empty while the replica is ready
-  std::optional<Nanos> gone_at;  // when listed as gone; ends a drain
+  std::optional<Nanos> left_at;  // time when listed as draining or gone; empty while the replica is ready
+  std::optional<Nanos> gone_at;  // time when listed as gone, which ends a drain
 };
 
 // Reads drains and crashes from the endpoint lists and adds them as faults. Each absence lasts until the
@@ -124,7 +124,8 @@
   return std::nullopt;
 }
 
-// Consecutive spells of one kind, merged to one fault.
+// Consecutive spells of one kind, merged into one fault. A spell is a time in which attempts failed or were
+// slow.
 struct MergedSpell {
   std::optional<std::string_view> kind;
   Nanos from{};
@@ -173,7 +174,7 @@
     const auto found = absences.find(replica);
     for (const auto& spell : merge_adjacent(source.fleet.replicas[n].spells)) {
       if (!spell.kind || spell.to - spell.from < kMinSpellDuration) continue;
-      // The drain or crash already covers the spell.
+      // A drain or crash of the replica already covers this spell.
       if (found != absences.end() && overlaps(found->second, spell.from, spell.to)) continue;
       faults.add(spell.from, spell.to, std::string(*spell.kind),
                  attribute("replicas", names.name_of(replica)) + attributes_of(spell));
--- a/src/replay/replica_names.h
+++ b/src/replay/replica_names.h
@@ -19,7 +19,7 @@
   /// Groups of replica positions. The replicas of a group have the same zone, hardware kind, number of cores
   /// and speed. The groups, and the replicas of each group, are in the order of the record.
   const std::vector<std::vector<std::size_t>>& groups() const { return groups_; }
-  /// Names in the scenario by the name in the record.
+  /// Maps the name of a replica in the record to its name in the scenario.
   const std::map<std::string, std::string>& by_recorded_name() const { return by_recorded_name_; }
   const std::string& name_of(ReplicaId replica) const;
 
--- a/src/replay/report_assembler.h
+++ b/src/replay/report_assembler.h
@@ -22,12 +22,12 @@
 /// Joins report lines to reports. Callers pass all lines in the order of the record.
 class ReportAssembler {
  public:
-  /// Adds the attempts of the proxy at one replica.
+  /// Adds a line with the results of the proxy's attempts at one replica.
   void add_replica_line(const LineOrigin& origin, simulation::Met met);
-  /// Adds attempts at one replica from a record before schema 2, which does not store the proxy.
+  /// Adds a line about one replica from a record before schema 2, which does not store the proxy.
   void add_unattributed_line(Nanos arrived, Nanos span, simulation::Met met);
-  /// Adds the demand of the proxy for one class. Unattributed lines of the same span that were recorded just
-  /// before are attributed to the same proxy.
+  /// Adds a line with the demand of the proxy for one request class. Unattributed lines of the same span that
+  /// were recorded just before are attributed to the same proxy.
   void add_demand_line(const LineOrigin& origin, const simulation::Asked& asked);
   /// Begins another incarnation: later lines never extend a report of an earlier incarnation.
   void begin_incarnation() { last_reports_.clear(); }
