--- a/src/replay/export_scenario.cpp
+++ b/src/replay/export_scenario.cpp
@@ -95,10 +95,9 @@
 
 std::string head_text(const ReplicaNames& names) {
   std::string text =
-      "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<!-- Created from a record. Speeds, cores and failures "
-      "are "
-      "estimates of the model; a failure whose end was\n     not observed is assumed to have ended half way "
-      "to the next observation. Replicas have new names here:\n";
+      "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<!-- Made of a record. Speeds, cores and failures are the "
+      "model's; a failure that nobody saw end is\n     taken to have ended half way to the next look. "
+      "Replicas go by other names here:\n";
   for (const auto& [recorded, scenario_name] : names.by_recorded_name())
     text += "     " + comment_text(recorded) + " is " + scenario_name + "\n";
   return text + "-->\n";
--- a/src/replay/scenario_xml.cpp
+++ b/src/replay/scenario_xml.cpp
@@ -56,7 +56,7 @@
   std::string text;
   if (faults.size() > kMaxFaults) {
     const std::size_t left_out = faults.size() - kMaxFaults;
-    text += "  <!-- " + std::to_string(left_out) + " later faults are left out. -->\n";
+    text += "  <!-- " + std::to_string(left_out) + " later troubles are left out. -->\n";
     faults.resize(kMaxFaults);
   }
   if (faults.empty()) return text;
