--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -10,7 +10,7 @@
   } catch (const config::ConfigError&) {
   }
   try {
-    scenario::parse_script(text, "fuzz", ".");
+    scenario::parse_scenario(text, "fuzz", ".");
   } catch (const config::ConfigError&) {
   }
   return 0;
--- a/src/checker/invariant_checker.cpp
+++ b/src/checker/invariant_checker.cpp
@@ -46,7 +46,7 @@
 // The trace in order, with what several rules need of it.
 struct Facts {
   explicit Facts(const Trace& trace) {
-    governed = intervals(in_order(trace.governing), [](const Governing& g) { return g.up; });
+    governed = intervals(in_order(trace.governing), [](const GovernorStatus& g) { return g.up; });
     for (auto& listed : in_order(trace.listed)) lists[listed.replica].push_back(listed);
     for (auto& started : in_order(trace.started)) lives[started.replica].push_back(started);
     std::map<std::string, std::vector<Cut>> cuts;
@@ -301,8 +301,8 @@
     most = std::max(most, window.size());
   }
   const bool few = limits.max_messages_per_window == 0 || most <= limits.max_messages_per_window;
-  return {"the queue short", few && worst_waiting <= limits.most_waiting,
-          text("%.0f lines waiting at most, of %.0f allowed; ", worst_waiting, limits.most_waiting) +
+  return {"the queue short", few && worst_waiting <= limits.max_queued_entries,
+          text("%.0f lines waiting at most, of %.0f allowed; ", worst_waiting, limits.max_queued_entries) +
               std::to_string(most) + " messages to one proxy in a window, of " +
               std::to_string(limits.max_messages_per_window) + " allowed"};
 }
@@ -347,13 +347,13 @@
 
 }  // namespace
 
-bool Verdict::kept() const {
+bool CheckResult::kept() const {
   return std::all_of(rules.begin(), rules.end(), [](const Rule& rule) { return rule.kept; });
 }
 
-Verdict judge(const Trace& trace, const Limits& limits, Time end, double worst_waiting) {
+CheckResult check_invariants(const Trace& trace, const Limits& limits, Time end, double worst_waiting) {
   const Facts facts(trace);
-  Verdict verdict;
+  CheckResult verdict;
   verdict.rules = {nobody_bare(facts, limits, end), no_effect_twice(trace, limits),
                    drains_kept(trace, facts, limits), no_cold_replica_pushed_over(trace, facts, limits),
                    short_queue(facts, limits, worst_waiting)};
--- a/src/checker/invariant_checker.h
+++ b/src/checker/invariant_checker.h
@@ -23,7 +23,7 @@
   Time overload_duration{};
   std::size_t max_messages_per_window = 0;
   Time message_window{};
-  double most_waiting = 0;
+  double max_queued_entries = 0;
   std::map<std::string, ClassTerms> classes;
   // Proxies that were served with replicas from their first question on; the others show themselves first.
   std::vector<std::string> vouched;
@@ -40,7 +40,7 @@
   double score() const { return 0.7 * whole + 0.2 * worst_window + 0.1 * worst_class; }
 };
 
-struct Verdict {
+struct CheckResult {
   std::vector<Rule> rules;  // the five, in the order of the brief
   Service service;
   std::size_t operations = 0, answered = 0;
@@ -48,7 +48,7 @@
 };
 
 // `worst_waiting` is what the governor itself counted of lines in its channel.
-Verdict judge(const Trace& trace, const Limits& limits, Time end, double worst_waiting);
+CheckResult check_invariants(const Trace& trace, const Limits& limits, Time end, double worst_waiting);
 
 // For each whole second from `begin`, the worth that was answered in time, of that asked for then.
 std::vector<double> service_by_second(const Trace& trace, const Limits& limits, Time begin, Time end);
--- a/src/checker/trace.h
+++ b/src/checker/trace.h
@@ -23,7 +23,7 @@
   EndpointPhase phase = EndpointPhase::ready;
 };
 // A governor runs, or does no longer.
-struct Governing {
+struct GovernorStatus {
   Time at{};
   bool up = true;
 };
@@ -85,7 +85,7 @@
     list_of(record).push_back(std::move(record));
   }
   std::vector<Listed> listed;
-  std::vector<Governing> governing;
+  std::vector<GovernorStatus> governing;
   std::vector<Started> started;
   std::vector<Arrived> arrived;
   std::vector<Effect> effects;
@@ -96,7 +96,7 @@
 
  private:
   std::vector<Listed>& list_of(const Listed&) { return listed; }
-  std::vector<Governing>& list_of(const Governing&) { return governing; }
+  std::vector<GovernorStatus>& list_of(const GovernorStatus&) { return governing; }
   std::vector<Started>& list_of(const Started&) { return started; }
   std::vector<Arrived>& list_of(const Arrived&) { return arrived; }
   std::vector<Effect>& list_of(const Effect&) { return effects; }
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -20,33 +20,33 @@
 }  // namespace
 
 int day(const DayOptions& options) {
-  auto script = scenario::read_script(options.path);
+  auto script = scenario::read_scenario(options.path);
   if (options.seed) script.seed = *options.seed;
   if (!options.setting.empty()) script.governor_path = options.setting;
-  scenario::PlayOptions playing;
+  scenario::RunOptions playing;
   playing.program = std::filesystem::read_symlink("/proc/self/exe").string();
   playing.folder = options.keep;
   playing.equal_weights = options.equal_weights;
-  playing.tell = [](Nanos at, const std::string& what) {
+  playing.on_event = [](Nanos at, const std::string& what) {
     std::printf("%7.2f s  %s\n", seconds(at), what.c_str());
     std::fflush(stdout);
   };
   std::printf("day %s, %.0f s, seed %u\n", script.name.c_str(), seconds(script.length), script.seed);
-  const auto played = scenario::play(script, playing);
+  const auto played = scenario::run_scenario(script, playing);
   std::printf("service by second  %s\n", strip(played.service_by_second).c_str());
-  for (const auto& rule : played.verdict.rules) {
+  for (const auto& rule : played.check_result.rules) {
     if (options.equal_weights) break;  // nobody is there to keep them
     std::printf("%-7s %-30s %s\n", rule.kept ? "kept" : "BROKEN", rule.name.c_str(), rule.figures.c_str());
   }
-  const auto& service = played.verdict.service;
+  const auto& service = played.check_result.service;
   std::printf(
       "service %.3f  (whole run %.3f, worst 10 s %.3f, worst class %.3f; %zu of %zu operations answered)\n",
-      service.score(), service.whole, service.worst_window, service.worst_class, played.verdict.answered,
-      played.verdict.operations);
+      service.score(), service.whole, service.worst_window, service.worst_class, played.check_result.answered,
+      played.check_result.operations);
   if (options.equal_weights) return 0;
-  std::printf("governor stopped in %.2f s\n", seconds(played.stop_took));
-  std::printf("verdict: %s\n", played.verdict.kept() ? "all rules kept" : "A RULE IS BROKEN");
-  return played.verdict.kept() ? 0 : 3;
+  std::printf("governor stopped in %.2f s\n", seconds(played.stop_duration));
+  std::printf("verdict: %s\n", played.check_result.kept() ? "all rules kept" : "A RULE IS BROKEN");
+  return played.check_result.kept() ? 0 : 3;
 }
 
 }  // namespace ospreypost::cli
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -134,7 +134,7 @@
         replay::export_scenario(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
     const auto day = (fs::path(options.out) / "day.xml").string();
     // What cannot be played is not written.
-    scenario::parse_script(made.scenario, day, options.out);
+    scenario::parse_scenario(made.scenario, day, options.out);
     std::error_code failed;
     fs::create_directories(options.out, failed);
     for (const auto& [name, text] :
--- a/src/fakes/caching_client.h
+++ b/src/fakes/caching_client.h
@@ -9,7 +9,7 @@
 
 #include "checker/trace.h"
 #include "fakes/proxy.h"
-#include "fakes/stub.h"
+#include "fakes/stub_resolver.h"
 
 namespace ospreypost::fakes {
 
--- a/src/fakes/proxy.cpp
+++ b/src/fakes/proxy.cpp
@@ -137,14 +137,14 @@
   const auto lifetime = std::chrono::seconds(resolved.lifetime);
   put(cls, std::move(resolved));
   table.until =
-      at + (shape_.sabotage.asks_often ? kAskAgain : std::chrono::duration_cast<nanoseconds>(lifetime));
+      at + (shape_.defects.asks_often ? kAskAgain : std::chrono::duration_cast<nanoseconds>(lifetime));
 }
 
 // Goes by it from now on. With the lock held.
 void Proxy::put(std::size_t cls, Resolved resolved) {
   auto& table = tables_[cls];
   const auto at = now();
-  if (shape_.sabotage.keeps_old_lines && table.any) {
+  if (shape_.defects.keeps_old_lines && table.any) {
     for (const auto& old : table.resolved.targets) {
       const auto same = [&](const Target& target) { return target.name == old.name; };
       if (std::none_of(resolved.targets.begin(), resolved.targets.end(), same))
@@ -237,9 +237,9 @@
     outcome = try_at(*target, table.replicas, id, cls, until);
     const bool any_failure = table.retry == "once" || table.retry == "twice";
     const bool may = outcome == Outcome::refused || (outcome != Outcome::done && any_failure) ||
-                     (outcome == Outcome::unknown && shape_.sabotage.repeats_after_time_out);
+                     (outcome == Outcome::unknown && shape_.defects.repeats_after_time_out);
     if (!may) break;
-    if (shape_.sabotage.repeats_after_time_out) until = std::max(until, now() + cls.request_deadline);
+    if (shape_.defects.repeats_after_time_out) until = std::max(until, now() + cls.request_deadline);
   }
   if (outcome != Outcome::done) {
     const std::lock_guard held(lock_);
@@ -262,7 +262,7 @@
   std::vector<double> weights;
   for (const auto* target : may) weights.push_back(std::max<double>(target->weight, 0.001));
   const std::lock_guard held(lock_);
-  if (shape_.sabotage.prefers_new) {
+  if (shape_.defects.prefers_new) {
     return **std::max_element(may.begin(), may.end(),
                               [&](auto* a, auto* b) { return seen_since_[a->name] < seen_since_[b->name]; });
   }
--- a/src/fakes/proxy.h
+++ b/src/fakes/proxy.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "checker/trace.h"
-#include "fakes/stub.h"
+#include "fakes/stub_resolver.h"
 #include "http/http.h"
 #include "load_reports/otlp_metrics.h"
 
@@ -47,7 +47,7 @@
   net::Address entry;
   std::chrono::nanoseconds report_interval{};
   std::size_t workers = 24;
-  InjectedDefects sabotage;
+  InjectedDefects defects;
 };
 
 class Proxy {
--- a/src/fakes/stub.cpp
+++ b/src/fakes/stub_resolver.cpp
@@ -1,4 +1,4 @@
-#include "fakes/stub.h"
+#include "fakes/stub_resolver.h"
 
 #include <arpa/inet.h>
 #include <arpa/nameser.h>
--- a/src/fakes/tables.h
+++ b/src/fakes/tables.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "fakes/stub.h"
+#include "fakes/stub_resolver.h"
 
 namespace ospreypost::fakes {
 
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -73,7 +73,7 @@
   NEEDS ospreypost_record ospreypost_simulation ospreypost_config)
 ospreypost_package(report plots.cpp page.cpp NEEDS ospreypost_simulation ospreypost_net)
 ospreypost_package(terms limits.cpp deployment.cpp NEEDS ospreypost_config ospreypost_simulation)
-ospreypost_package(fakes replica.cpp stub.cpp proxy.cpp tables.cpp faulty_link.cpp resolver.cpp caching_client.cpp
+ospreypost_package(fakes replica.cpp stub_resolver.cpp proxy.cpp tables.cpp faulty_link.cpp resolver.cpp caching_client.cpp
   NEEDS ospreypost_checker ospreypost_http ospreypost_load_reports ospreypost_dns resolv)
 ospreypost_package(scenario scenario.cpp composed.cpp child_process.cpp test_environment.cpp run.cpp
   NEEDS ospreypost_fakes ospreypost_terms)
--- a/src/scenario/run.cpp
+++ b/src/scenario/run.cpp
@@ -103,7 +103,7 @@
 
 class Run {
  public:
-  Run(const Scenario& script, const PlayOptions& options)
+  Run(const Scenario& script, const RunOptions& options)
       : script_(script),
         options_(options),
         config_(config::read_config(script.governor_path)),
@@ -111,11 +111,11 @@
         config_path_((folder_ / "governor.xml").string()) {
     check_names(script, config_);
     std::filesystem::create_directories(folder_);
-    stage_.emplace(script, config_, folder_, trace_, options.sabotage);
+    stage_.emplace(script, config_, folder_, trace_, options.defects);
     const auto original = config::read_file(script.governor_path);
     for (const std::size_t number : {1, 2}) {
       auto text = stage_->configuration(original, script.governor_path, number);
-      if (options.rig) text = options.rig(std::move(text));
+      if (options.change_configuration) text = options.change_configuration(std::move(text));
       std::ofstream(number == 1 ? config_path_ : config_path_ + ".2") << text;
     }
   }
@@ -149,12 +149,12 @@
     if (governor_) governor_->pause(false);  // it may still stand, and must be asked
     count_waiting();
     ScenarioResult played;
-    played.stop_took = governor_ ? governor_->stop() : Nanos{};
-    trace_.add(checker::Governing{now(), false});
+    played.stop_duration = governor_ ? governor_->stop() : Nanos{};
+    trace_.add(checker::GovernorStatus{now(), false});
     second_.reset();
     stage_->stop();
     const auto limits = limits_of();
-    played.verdict = checker::judge(trace_, limits, end, worst_waiting_);
+    played.check_result = checker::check_invariants(trace_, limits, end, worst_waiting_);
     played.timeline = timeline_;
     played.service_by_second = checker::service_by_second(trace_, limits, begin_, begin_ + script_.length);
     played.folder = folder_.string();
@@ -165,14 +165,14 @@
   void raise_governor() {
     if (options_.equal_weights) return;
     governor_.emplace(options_.program, std::vector<std::string>{"serve", config_path_});
-    trace_.add(checker::Governing{now(), true});
+    trace_.add(checker::GovernorStatus{now(), true});
   }
 
   // What it is told meanwhile it learns when it goes on.
   void hold_governor(bool still) {
     if (!governor_) return;
     governor_->pause(still);
-    trace_.add(checker::Governing{now(), !still});
+    trace_.add(checker::GovernorStatus{now(), !still});
   }
 
   void count_waiting() {
@@ -292,7 +292,7 @@
         add(trouble.at, "governor killed", [this] {
           count_waiting();
           governor_.reset();
-          trace_.add(checker::Governing{now(), false});
+          trace_.add(checker::GovernorStatus{now(), false});
         });
         add(end, "governor starts", [this] { raise_governor(); });
         return;
@@ -368,7 +368,7 @@
       step.act();
       const auto at = now() - begin_;
       timeline_.emplace_back(at, step.what);
-      if (options_.tell) options_.tell(at, step.what);
+      if (options_.on_event) options_.on_event(at, step.what);
     }
   }
 
@@ -386,7 +386,7 @@
   }
 
   const Scenario& script_;
-  const PlayOptions& options_;
+  const RunOptions& options_;
   const config::Config config_;
   const std::filesystem::path folder_;
   const std::string config_path_;
@@ -400,7 +400,7 @@
 
 }  // namespace
 
-ScenarioResult play(const Scenario& script, const PlayOptions& options) {
+ScenarioResult run_scenario(const Scenario& script, const RunOptions& options) {
   return Run(script, options).play();
 }
 
--- a/src/scenario/run.h
+++ b/src/scenario/run.h
@@ -11,25 +11,25 @@
 namespace ospreypost::scenario {
 
 struct ScenarioResult {
-  checker::Verdict verdict;
+  checker::CheckResult check_result;
   std::vector<std::pair<Nanos, std::string>> timeline;  // from the day's beginning
   std::vector<double> service_by_second;
-  Nanos stop_took{};  // of the governor, when asked to end
+  Nanos stop_duration{};  // of the governor, when asked to end
   std::string folder;
 };
 
-struct PlayOptions {
+struct RunOptions {
   std::string program;         // the governor's executable
   std::string folder;          // empty: one of its own, removed afterwards
   bool equal_weights = false;  // no governor: all replicas, equal weights; only the service means anything
-  fakes::InjectedDefects sabotage;
+  fakes::InjectedDefects defects;
   // Changes the governor's configuration behind the judge's back; may be empty.
-  std::function<std::string(std::string)> rig;
+  std::function<std::string(std::string)> change_configuration;
   // Called as things happen; may be empty.
-  std::function<void(Nanos, const std::string&)> tell;
+  std::function<void(Nanos, const std::string&)> on_event;
 };
 
 // Throws config::Faulty or net::Error.
-ScenarioResult play(const Scenario& script, const PlayOptions& options);
+ScenarioResult run_scenario(const Scenario& script, const RunOptions& options);
 
 }  // namespace ospreypost::scenario
--- a/src/scenario/scenario.cpp
+++ b/src/scenario/scenario.cpp
@@ -111,7 +111,7 @@
 
 }  // namespace
 
-Scenario parse_script(std::string_view text, const std::string& label, const std::string& folder) {
+Scenario parse_scenario(std::string_view text, const std::string& label, const std::string& folder) {
   const config::Document document(text, label, config::kDaySchema);
   const auto root = document.root();
   Scenario script;
@@ -168,8 +168,8 @@
   return troubles;
 }
 
-Scenario read_script(const std::string& path) {
-  return parse_script(config::read_file(path), path, std::filesystem::path(path).parent_path().string());
+Scenario read_scenario(const std::string& path) {
+  return parse_scenario(config::read_file(path), path, std::filesystem::path(path).parent_path().string());
 }
 
 void check_names(const Scenario& script, const config::Config& config) {
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -86,8 +86,8 @@
 };
 
 // Throws config::Faulty. Names are checked against the governor's configuration.
-Scenario parse_script(std::string_view text, const std::string& label, const std::string& folder);
-Scenario read_script(const std::string& path);
+Scenario parse_scenario(std::string_view text, const std::string& label, const std::string& folder);
+Scenario read_scenario(const std::string& path);
 // What the deaths come to, by the script's seed.
 std::vector<Fault> drawn(const Scenario& script);
 void check_names(const Scenario& script, const config::Config& config);
--- a/src/scenario/test_environment.cpp
+++ b/src/scenario/test_environment.cpp
@@ -106,7 +106,7 @@
 
 TestEnvironment::TestEnvironment(const Scenario& script, const config::Config& config,
                                  const std::filesystem::path& folder, checker::Trace& trace,
-                                 const fakes::InjectedDefects& sabotage)
+                                 const fakes::InjectedDefects& defects)
     : config_(config),
       trace_(trace),
       roll_(folder / "roll.json", trace),
@@ -138,7 +138,7 @@
     shape.classes = classes;
     shape.entry = block_.address(kProxies, proxies_.size() + 1, 7000);
     shape.report_interval = config.settings.report_interval;
-    shape.sabotage = sabotage;
+    shape.defects = defects;
     entries_[known.name] = shape.entry;
     if (known.is_pushed_to()) folders_[known.name] = (folder / ("tables-" + known.name)).string();
     if (known.receiver) {
--- a/src/scenario/test_environment.h
+++ b/src/scenario/test_environment.h
@@ -57,7 +57,7 @@
 class TestEnvironment {
  public:
   TestEnvironment(const Scenario& script, const config::Config& config, const std::filesystem::path& folder,
-                  checker::Trace& trace, const fakes::InjectedDefects& sabotage);
+                  checker::Trace& trace, const fakes::InjectedDefects& defects);
   ~TestEnvironment() { stop(); }
   // The governor's configuration for this stage, from the text of the original.
   // `number`: 1, or 2 for one that runs beside it.
--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_day.cpp
@@ -219,7 +219,7 @@
       clock_.at(life.from, [this] { raise(); });
       if (n + 1 < history_.lives.size()) clock_.at(life.to + 1ns, [this] { fall(); });
     }
-    clock_.at(history_.length, [this] { trace_.add(checker::Governing{clock_.now(), false}); });
+    clock_.at(history_.length, [this] { trace_.add(checker::GovernorStatus{clock_.now(), false}); });
   }
 
   void raise() {
@@ -228,13 +228,13 @@
       played_.withdrawals.push_back(withdrawal);
     };
     governing_->on_probe = [this](ReplicaId replica) { return probed(replica); };
-    trace_.add(checker::Governing{clock_.now(), true});
+    trace_.add(checker::GovernorStatus{clock_.now(), true});
   }
   void fall() {
     note_counts();
     governing_.reset();
     for (auto& proxy : proxies_) proxy.joined = false, ++proxy.asking;
-    trace_.add(checker::Governing{clock_.now(), false});
+    trace_.add(checker::GovernorStatus{clock_.now(), false});
   }
   void note_counts() {
     if (!governing_) return;
@@ -609,7 +609,8 @@
   void finish() {
     note_counts();
     played_.counted = count(played_.reports, history_.length, served_, deployment_.settings);
-    played_.verdict = checker::judge(trace_, deployment_.limits, history_.length, played_.worst_waiting);
+    played_.verdict =
+        checker::check_invariants(trace_, deployment_.limits, history_.length, played_.worst_waiting);
     played_.service = checker::service_by_second(trace_, deployment_.limits, Nanos{}, history_.length);
   }
 
--- a/src/simulation/simulated_day.h
+++ b/src/simulation/simulated_day.h
@@ -26,7 +26,7 @@
 };
 
 struct PlayedDay {
-  checker::Verdict verdict;
+  checker::CheckResult verdict;
   std::vector<Counted> counted;  // by second of the reports' spans
   std::vector<double> service;   // by second: worth answered in time, of that asked for
   std::vector<Shares> shares;    // once a second
--- a/src/terms/limits.cpp
+++ b/src/terms/limits.cpp
@@ -12,7 +12,7 @@
   limits.overload_duration = settings.overload_duration;
   limits.max_messages_per_window = settings.max_messages_per_window;
   limits.message_window = settings.message_window;
-  limits.most_waiting = settings.channel_max_queued_entries;
+  limits.max_queued_entries = settings.channel_max_queued_entries;
   for (std::size_t k = 0; k < config.classes.size(); ++k) {
     const auto& cls = settings.classes[k];
     limits.classes[config.classes[k]] = {cls.effect != Idempotency::idempotent, cls.latency_objective,
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -8,7 +8,7 @@
 #include "dns/rate_limit.h"
 #include "dns/server.h"
 #include "dns/weights.h"
-#include "fakes/stub.h"
+#include "fakes/stub_resolver.h"
 #include "program/support.h"
 
 namespace ospreypost::dns {
--- a/tests/program/invariant_checker_test.cpp
+++ b/tests/program/invariant_checker_test.cpp
@@ -23,7 +23,7 @@
   limits.overload_duration = 3s;
   limits.max_messages_per_window = 2;
   limits.message_window = 10s;
-  limits.most_waiting = 100;
+  limits.max_queued_entries = 100;
   limits.classes["sign-job"] = {true, 1s, 2s, 4, 0.5};
   limits.vouched = {"p"};
   return limits;
@@ -32,7 +32,7 @@
 // A governor, a warm replica and a proxy that is served with it from the first second on.
 struct Quiet : Trace {
   Quiet() {
-    add(Governing{0s, true});
+    add(GovernorStatus{0s, true});
     add(Listed{0s, "r", EndpointPhase::ready});
     add(Started{0s, "r", 2, 1, 0s});
     add(Answered{1s, "p", "sign-job", 1, {"r"}, true});
@@ -44,7 +44,7 @@
 
 std::string broken(const Trace& trace, double waiting = 0) {
   std::string names;
-  for (const auto& rule : judge(trace, limits(), 60s, waiting).rules)
+  for (const auto& rule : check_invariants(trace, limits(), 60s, waiting).rules)
     names += rule.kept ? "" : rule.name + ";";
   return names;
 }
@@ -52,7 +52,7 @@
 TEST(Judge, FindsNothingWhereNothingIsWrong) {
   const Quiet trace;
   EXPECT_EQ(broken(trace), "");
-  EXPECT_DOUBLE_EQ(judge(trace, limits(), 60s, 0).service.score(), 1);
+  EXPECT_DOUBLE_EQ(check_invariants(trace, limits(), 60s, 0).service.score(), 1);
 }
 
 TEST(Judge, SeesABareProxy) {
@@ -81,9 +81,9 @@
   trace.add(Sent{13100ms, "p", "r", 3});
   EXPECT_EQ(broken(trace), "drains kept;");
   // Neither while no governor runs, nor while the proxy is cut off from it.
-  trace.add(Governing{11s, false});
+  trace.add(GovernorStatus{11s, false});
   EXPECT_EQ(broken(trace), "");
-  trace.add(Governing{11500ms, true});
+  trace.add(GovernorStatus{11500ms, true});
   EXPECT_EQ(broken(trace), "");
   trace.add(Sent{14600ms, "p", "r", 4});
   EXPECT_EQ(broken(trace), "drains kept;");
@@ -129,18 +129,18 @@
     <traffic><class name="sign-job" rate="100" work="60 ms"/><class name="read-status" rate="20" work="60 ms"/></traffic>
     <troubles>)" + troubles +
                            "</troubles></day>";
-  return scenario::parse_script(text, "rigged", OSPREYPOST_EXAMPLES);
+  return scenario::parse_scenario(text, "rigged", OSPREYPOST_EXAMPLES);
 }
 
-std::string broken_in(const std::string& troubles, const fakes::InjectedDefects& sabotage,
+std::string broken_in(const std::string& troubles, const fakes::InjectedDefects& defects,
                       std::function<std::string(std::string)> rig = {},
                       const std::string& fleet = kThreeRooms) {
-  scenario::PlayOptions options;
+  scenario::RunOptions options;
   options.program = OSPREYPOST_PROGRAM_PATH;
-  options.sabotage = sabotage;
-  options.rig = std::move(rig);
+  options.defects = defects;
+  options.change_configuration = std::move(rig);
   std::string names;
-  for (const auto& rule : scenario::play(script(troubles, fleet), options).verdict.rules) {
+  for (const auto& rule : scenario::run_scenario(script(troubles, fleet), options).check_result.rules) {
     names += rule.kept ? "" : rule.name + ";";
     std::cout << rule.name << ": " << rule.figures << '\n';
   }
@@ -165,35 +165,35 @@
 }
 
 TEST(RiggedRun, AProxyThatRepeatsAfterATimeOutRunsThingsTwice) {
-  fakes::InjectedDefects sabotage;
-  sabotage.repeats_after_time_out = true;
-  EXPECT_EQ(broken_in(R"(<slow at="2 s" for="5 s" factor="40" replicas="klein-windhoek-1 eros-park-1"/>)",
-                      sabotage),
-            "no effect twice;");
+  fakes::InjectedDefects defects;
+  defects.repeats_after_time_out = true;
+  EXPECT_EQ(
+      broken_in(R"(<slow at="2 s" for="5 s" factor="40" replicas="klein-windhoek-1 eros-park-1"/>)", defects),
+      "no effect twice;");
 }
 
 TEST(RiggedRun, AFrontThatKeepsADrainedLineBreaksTheDrain) {
-  fakes::InjectedDefects sabotage;
-  sabotage.keeps_old_lines = true;
-  EXPECT_EQ(broken_in(R"(<drain at="3 s" leaves="6 s" for="6 s" replicas="klein-windhoek-1"/>)", sabotage),
+  fakes::InjectedDefects defects;
+  defects.keeps_old_lines = true;
+  EXPECT_EQ(broken_in(R"(<drain at="3 s" leaves="6 s" for="6 s" replicas="klein-windhoek-1"/>)", defects),
             "drains kept;");
 }
 
 TEST(RiggedRun, AProxyThatPrefersWhatIsNewPushesAColdReplicaOver) {
-  fakes::InjectedDefects sabotage;
-  sabotage.prefers_new = true;
+  fakes::InjectedDefects defects;
+  defects.prefers_new = true;
   // The governor holds back what is cold when tries fail around it; that guard is out as well.
   const auto rig = [](std::string text) {
     return replaced(std::move(text), "fall-multiple=\"2.5\"", "fall-multiple=\"1000\"");
   };
   const auto named = broken_in(R"(<crash at="2 s" for="2 s" notice="200 ms" replicas="klein-windhoek-1"/>)",
-                               sabotage, rig, R"(<replicas zone="klein-windhoek" count="6"/>)");
+                               defects, rig, R"(<replicas zone="klein-windhoek" count="6"/>)");
   EXPECT_NE(named.find("no cold replica pushed over;"), std::string::npos) << named;
 }
 
 TEST(RiggedRun, AGovernorThatCountsNoMessagesSendsTooMany) {
-  fakes::InjectedDefects sabotage;
-  sabotage.asks_often = true;
+  fakes::InjectedDefects defects;
+  defects.asks_often = true;
   std::string troubles;
   for (int n = 0; n < 14; ++n) {
     troubles += "<drain at=\"" + std::to_string(500 + n * 500) +
@@ -203,8 +203,8 @@
   const auto rig = [](std::string text) {
     return replaced(std::move(text), "allowed=\"12\"", "allowed=\"0\"");
   };
-  EXPECT_EQ(broken_in(troubles, sabotage), "");
-  EXPECT_EQ(broken_in(troubles, sabotage, rig), "the queue short;");
+  EXPECT_EQ(broken_in(troubles, defects), "");
+  EXPECT_EQ(broken_in(troubles, defects, rig), "the queue short;");
 }
 
 }  // namespace
--- a/tests/program/scenario_test.cpp
+++ b/tests/program/scenario_test.cpp
@@ -23,7 +23,7 @@
          troubles + "</troubles></day>";
 }
 std::vector<Fault> troubles_of(const std::string& text) {
-  return parse_script(day_text(text), "made", "/nowhere").troubles;
+  return parse_scenario(day_text(text), "made", "/nowhere").troubles;
 }
 std::string fault_of(const std::string& text) {
   try {
@@ -125,7 +125,7 @@
   fleet.repeats = {0, 0};
   const auto made =
       replay::export_scenario(history, terms::deployment_of(config), fleet, config.kinds, "made", "g.xml");
-  const auto script = parse_script(made.scenario, "made", "/nowhere");
+  const auto script = parse_scenario(made.scenario, "made", "/nowhere");
   check_names(script, config);
   EXPECT_EQ(made.configuration, config.text);
   EXPECT_EQ(script.length, 60s);
