--- a/src/checker/invariant_checker.h
+++ b/src/checker/invariant_checker.h
@@ -1,4 +1,4 @@
-// Judges the five rules and the service from a trace alone.
+// Checks the five rules and computes the service score from a trace alone.
 #pragma once
 
 #include <map>
@@ -17,7 +17,9 @@
 
 struct Limits {
   Time drain_grace{};
-  bool only_draining_is_binding = false;  // one that is merely gone from the list may be sent to
+  // Only replicas that are listed as draining must be drained; replicas that are missing from the list may
+  // still receive operations.
+  bool only_draining_is_binding = false;
   Time max_time_without_endpoints{};
   double overload_multiple = 0;
   Time overload_duration{};
@@ -25,14 +27,15 @@
   Time message_window{};
   double max_queued_entries = 0;
   std::map<std::string, ClassTerms> classes;
-  // Proxies that were served with replicas from their first question on; the others show themselves first.
+  // Proxies that receive replicas in the answer to their first query. Other proxies must first be recognised
+  // by the control plane, so the rule "no proxy bare" doesn't apply to them.
   std::vector<std::string> vouched;
 };
 
 struct Rule {
   std::string name;
   bool kept = true;
-  std::string figures;  // for people: the worst that was seen, and the limit
+  std::string figures;  // readable text: the worst observed value and its limit
 };
 
 struct Service {
@@ -41,16 +44,17 @@
 };
 
 struct CheckResult {
-  std::vector<Rule> rules;  // the five, in the order of the brief
+  std::vector<Rule> rules;  // the five rules, in the order in which they are specified
   Service service;
   std::size_t operations = 0, answered = 0;
   bool kept() const;
 };
 
-// `worst_waiting` is what the governor itself counted of lines in its channel.
-CheckResult check_invariants(const Trace& trace, const Limits& limits, Time end, double worst_waiting);
+// `max_queued_entries`: largest number of queued table entries that the control plane itself reported.
+CheckResult check_invariants(const Trace& trace, const Limits& limits, Time end, double max_queued_entries);
 
-// For each whole second from `begin`, the worth that was answered in time, of that asked for then.
+// Returns, for each whole second from `begin`, the fraction of the requests of that second that were answered
+// within their latency objective, weighted by the priority weight of their class.
 std::vector<double> service_by_second(const Trace& trace, const Limits& limits, Time begin, Time end);
 
 }  // namespace ospreypost::checker
--- a/src/checker/trace.h
+++ b/src/checker/trace.h
@@ -1,5 +1,5 @@
-// What was seen on the sockets of replicas and proxies, and what the governor had been told and when. Knows
-// nothing of the governor's code.
+// Trace of a run: what the replicas and proxies observed on their sockets, and which endpoint list and faults
+// the control plane was given at which time. The trace doesn't depend on the code of the control plane.
 #pragma once
 
 #include <chrono>
@@ -12,22 +12,24 @@
 
 namespace ospreypost::checker {
 
-using Time = std::chrono::nanoseconds;  // of one monotonic clock for the whole run
+using Time = std::chrono::nanoseconds;  // All times of a trace are read from one monotonic clock.
 
 enum class EndpointPhase { ready, draining, gone };
 
-// The list that the governor reads says so from then on.
+// A replica has this phase, from `at` on, in the endpoint list that the control plane reads.
 struct Listed {
   Time at{};
   std::string replica;
   EndpointPhase phase = EndpointPhase::ready;
 };
-// A governor runs, or does no longer.
+// The control plane started (`up`) or stopped.
 struct GovernorStatus {
   Time at{};
   bool up = true;
 };
-// A replica began a life: what it can do, in seconds of work a second, and how it warms.
+// A replica process started. `capacity` is its work per second when warm, in seconds of work; the replica
+// begins with the fraction `initial_warm_up_capacity` of it and reaches the full capacity after
+// `warm_up_duration`.
 struct Started {
   Time at{};
   std::string replica;
@@ -35,48 +37,48 @@
   double initial_warm_up_capacity = 1;
   Time warm_up_duration{};
 };
-// A replica took in an operation that costs it so much.
+// A replica received an operation that takes `work_seconds` of work.
 struct Arrived {
   Time at{};
   std::string replica;
   std::uint64_t operation = 0;
   double work_seconds = 0;
 };
-// An operation took effect.
+// A replica began to execute an operation, which counts as its effect.
 struct Effect {
   Time at{};
   std::string replica;
   std::uint64_t operation = 0;
 };
-// A proxy began to send an operation to a replica.
+// A proxy began an attempt of an operation at a replica.
 struct Sent {
   Time at{};
   std::string proxy, replica;
   std::uint64_t operation = 0;
 };
-// What a proxy read from an answer, and so may pick from until the next.
+// A proxy received a routing table for a class and picks targets from it until the next table.
 struct Answered {
   Time at{};
   std::string proxy, cls;
-  std::uint64_t version = 0;       // 0: the answer named none
-  std::vector<std::string> names;  // replicas, or proxies that stand before them
+  std::uint64_t version = 0;       // 0: the table has no version
+  std::vector<std::string> names;  // targets: replicas, or proxies that forward to replicas
   bool replicas = true;
 };
-// The way between a proxy and the governor is cut, by the script, or whole again.
+// The scenario cut (`cut`) or restored the connection between a proxy and the control plane.
 struct Cut {
   Time at{};
   std::string proxy;
   bool cut = true;
 };
-// A client's operation, with all that was tried for it.
+// A client's request, including all its attempts.
 struct Operation {
-  Time asked{};
+  Time requested_at{};
   std::uint64_t id = 0;
   std::string cls;
-  std::optional<Time> answered;  // with a good answer
+  std::optional<Time> answered_at;  // time of the successful answer; empty if there was none
 };
 
-// Filled from several threads, read when all have ended.
+// `add` may be called from several threads; the lists may only be read when these threads have ended.
 class Trace {
  public:
   template <typename Record>
@@ -85,7 +87,7 @@
     list_of(record).push_back(std::move(record));
   }
   std::vector<Listed> listed;
-  std::vector<GovernorStatus> governing;
+  std::vector<GovernorStatus> governor_status;
   std::vector<Started> started;
   std::vector<Arrived> arrived;
   std::vector<Effect> effects;
@@ -96,7 +98,7 @@
 
  private:
   std::vector<Listed>& list_of(const Listed&) { return listed; }
-  std::vector<GovernorStatus>& list_of(const GovernorStatus&) { return governing; }
+  std::vector<GovernorStatus>& list_of(const GovernorStatus&) { return governor_status; }
   std::vector<Started>& list_of(const Started&) { return started; }
   std::vector<Arrived>& list_of(const Arrived&) { return arrived; }
   std::vector<Effect>& list_of(const Effect&) { return effects; }
--- a/src/fakes/caching_client.cpp
+++ b/src/fakes/caching_client.cpp
@@ -9,15 +9,21 @@
 
 }  // namespace
 
-CachingClient::CachingClient(const std::string& name, const OperationClass& cls, nanoseconds every,
-                             nanoseconds hold, std::uint64_t first_id, checker::Trace& trace,
+CachingClient::CachingClient(const std::string& name, const OperationClass& cls, nanoseconds interval,
+                             nanoseconds cache_time, std::uint64_t first_id, checker::Trace& trace,
                              std::uint32_t seed)
-    : name_(name), cls_(cls), every_(every), hold_(hold), next_id_(first_id), trace_(trace), chance_(seed) {}
+    : name_(name),
+      cls_(cls),
+      interval_(interval),
+      cache_time_(cache_time),
+      next_id_(first_id),
+      trace_(trace),
+      generator_(seed) {}
 
 void CachingClient::start(const net::Address& dns) {
   dns_ = dns;
   thread_ = net::Thread(
-      "terminal", [this] { work(); }, 2 * net::kSmallStack);
+      "caching-client", [this] { send_periodically(); }, 2 * net::kSmallStack);
 }
 
 void CachingClient::stop() {
@@ -29,47 +35,48 @@
   thread_.join();
 }
 
-void CachingClient::work() {
-  nanoseconds asked_at{};
+void CachingClient::send_periodically() {
+  nanoseconds resolved_at{};
   std::unique_lock held(lock_);
-  while (!changed_.wait_for(held, every_, [this] { return stopping_; })) {
+  while (!changed_.wait_for(held, interval_, [this] { return stopping_; })) {
     held.unlock();
-    if (held_.targets.empty() || now() >= asked_at + hold_) {
+    if (cached_.targets.empty() || now() >= resolved_at + cache_time_) {
       auto resolved = resolve(dns_, name_);
-      if (!resolved.targets.empty()) held_ = std::move(resolved), asked_at = now();
+      if (!resolved.targets.empty()) cached_ = std::move(resolved), resolved_at = now();
     }
     checker::Operation operation{now(), next_id_++, cls_.name, std::nullopt};
-    if (operate(operation.id)) operation.answered = now();
-    // Before it knows anybody at all, it has nothing to ask for.
-    if (!held_.targets.empty()) trace_.add(std::move(operation));
+    if (send_operation(operation.id)) operation.answered_at = now();
+    // Operations only count once the client has resolved a proxy.
+    if (!cached_.targets.empty()) trace_.add(std::move(operation));
     held.lock();
   }
 }
 
-bool CachingClient::operate(std::uint64_t id) {
-  // Like a person: one more go, at another proxy, if the first says that nothing was done.
+bool CachingClient::send_operation(std::uint64_t id) {
+  // A client sends the operation to a second proxy if the first one can't be reached or answers 503, which
+  // means that nothing was executed.
   std::vector<const Target*> order;
-  for (const auto& target : held_.targets) order.push_back(&target);
-  std::shuffle(order.begin(), order.end(), chance_);
+  for (const auto& target : cached_.targets) order.push_back(&target);
+  std::shuffle(order.begin(), order.end(), generator_);
   std::stable_sort(order.begin(), order.end(), [](auto* a, auto* b) { return a->priority < b->priority; });
   if (order.size() > 2) order.resize(2);
-  const auto until = net::Steady::now() + cls_.request_deadline;
+  const auto deadline = net::Steady::now() + cls_.request_deadline;
   for (const auto* target : order) {
     try {
-      http::Connection connection(net::connect(target->address, until));
+      http::Connection connection(net::connect(target->address, deadline));
       http::Request request;
       request.method = "POST";
       request.target = "/op/" + std::to_string(id) + "?class=" + cls_.name + "&from=terminal";
       request.keep_alive = false;
       try {
-        connection.write(request, target->address.text(), until);
-        const auto response = connection.read_response(100'000, until);
+        connection.write(request, target->address.text(), deadline);
+        const auto response = connection.read_response(100'000, deadline);
         if (response.status != 503) return response.status == 200;
       } catch (const net::Error&) {
         return false;
       }
     } catch (const net::Error&) {
-      // Not even connected: it cannot have run.
+      // The connection failed, so the operation wasn't executed and the next proxy may be tried.
     }
   }
   return false;
--- a/src/fakes/caching_client.h
+++ b/src/fakes/caching_client.h
@@ -1,5 +1,5 @@
-// An office terminal: asks DNS once for the proxies of its zone and holds on to the answer, whatever its
-// lifetime.
+// Fake client that caches DNS answers: it resolves the proxies of its zone and uses the answer for a fixed
+// time, without regard to the TTL of the answer.
 #pragma once
 
 #include <algorithm>
@@ -15,26 +15,27 @@
 
 class CachingClient {
  public:
-  // `hold`: how long it goes on by one answer. `names_from`: number of its first operation.
-  CachingClient(const std::string& name, const OperationClass& cls, std::chrono::nanoseconds every,
-                std::chrono::nanoseconds hold, std::uint64_t first_id, checker::Trace& trace,
+  // Sends one operation of class `cls` per `interval` to the proxies that `name` resolves to, and resolves
+  // `name` again after `cache_time`. `first_id`: id of the first operation; later ids count up.
+  CachingClient(const std::string& name, const OperationClass& cls, std::chrono::nanoseconds interval,
+                std::chrono::nanoseconds cache_time, std::uint64_t first_id, checker::Trace& trace,
                 std::uint32_t seed);
   ~CachingClient() { stop(); }
   void start(const net::Address& dns);
   void stop();
 
  private:
-  void work();
-  bool operate(std::uint64_t id);
+  void send_periodically();
+  bool send_operation(std::uint64_t id);
 
-  const std::string name_;  // that it asks for
+  const std::string name_;  // DNS name of the proxies
   const OperationClass cls_;
-  const std::chrono::nanoseconds every_, hold_;
+  const std::chrono::nanoseconds interval_, cache_time_;
   std::uint64_t next_id_;
   checker::Trace& trace_;
-  std::mt19937 chance_;
+  std::mt19937 generator_;
   net::Address dns_;
-  Resolved held_;
+  Resolved cached_;
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false;
--- a/src/fakes/faulty_link.cpp
+++ b/src/fakes/faulty_link.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kPatience = 3s;
+constexpr auto kForwardTimeout = 3s;
 constexpr std::size_t kPieces = 50;
 
 http::Limits limits() {
@@ -20,15 +20,15 @@
 
 FaultyLink::FaultyLink(const net::Address& listen, const net::Address& receiver, std::uint32_t seed)
     : receiver_(receiver),
-      chance_(seed),
+      generator_(seed),
       server_(
-          "courier", listen, limits(), 16, [this](const http::Request& request) { return answer(request); },
-          [](const std::string&) {}) {}
+          "faulty-link", listen, limits(), 16,
+          [this](const http::Request& request) { return answer(request); }, [](const std::string&) {}) {}
 
-void FaultyLink::carry(LinkFault carriage, std::chrono::nanoseconds by) {
+void FaultyLink::set_fault(LinkFault fault, std::chrono::nanoseconds delay) {
   const std::lock_guard held(lock_);
-  carriage_ = carriage;
-  by_ = by;
+  fault_ = fault;
+  delay_ = delay;
 }
 
 void FaultyLink::stop() {
@@ -40,56 +40,57 @@
   server_.stop();
 }
 
-void FaultyLink::wait(std::chrono::nanoseconds time) {
+void FaultyLink::wait(std::chrono::nanoseconds duration) {
   std::unique_lock held(lock_);
-  changed_.wait_for(held, time, [this] { return stopping_; });
+  changed_.wait_for(held, duration, [this] { return stopping_; });
 }
 
-// By hand, as no client that is well would write it.
-void FaultyLink::bring_in_pieces(const http::Request& request, std::size_t bytes,
-                                 std::chrono::nanoseconds time) {
+// Writes the request to the socket directly, since the HTTP client can't send a request in part.
+void FaultyLink::send_in_pieces(const http::Request& request, std::size_t bytes,
+                                std::chrono::nanoseconds duration) {
   const auto text =
       "PUT /generation HTTP/1.1\r\nHost: " + receiver_.text() +
       "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(request.body.size()) +
       "\r\n\r\n" + request.body;
   const auto end = std::min(bytes, text.size());
-  const auto until = net::Steady::now() + kPatience + std::chrono::duration_cast<net::Steady::duration>(time);
-  const auto socket = net::connect(receiver_, until);
+  const auto deadline =
+      net::Steady::now() + kForwardTimeout + std::chrono::duration_cast<net::Steady::duration>(duration);
+  const auto socket = net::connect(receiver_, deadline);
   const auto piece = std::max<std::size_t>(1, end / kPieces);
   for (std::size_t at = 0; at < end; at += piece) {
-    net::write_fully(socket, std::span(text).subspan(at, std::min(piece, end - at)), until);
-    if (time > 0ns) wait(time / kPieces);
+    net::write_fully(socket, std::span(text).subspan(at, std::min(piece, end - at)), deadline);
+    if (duration > 0ns) wait(duration / kPieces);
   }
 }
 
 http::Response FaultyLink::answer(const http::Request& request) {
-  auto carriage = LinkFault::prompt;
-  std::chrono::nanoseconds by{};
-  http::Request before;
-  std::size_t torn_at = 0;
+  auto fault = LinkFault::prompt;
+  std::chrono::nanoseconds delay{};
+  http::Request previous_push;
+  std::size_t torn_bytes = 0;
   const bool push = request.method == "PUT";
   if (push) {
     const std::lock_guard held(lock_);
-    carriage = carriage_;
-    by = by_;
-    before = last_;
-    torn_at = std::uniform_int_distribution<std::size_t>(0, request.body.size() + 100)(chance_);
-    if (carriage != LinkFault::older && carriage != LinkFault::torn && carriage != LinkFault::slow)
-      last_ = request;
+    fault = fault_;
+    delay = delay_;
+    previous_push = last_push_;
+    torn_bytes = std::uniform_int_distribution<std::size_t>(0, request.body.size() + 100)(generator_);
+    if (fault != LinkFault::older && fault != LinkFault::torn && fault != LinkFault::slow)
+      last_push_ = request;
   }
   try {
-    const auto bring = [&](const http::Request& what) {
-      return http::fetch(receiver_, what, net::Steady::now() + kPatience);
+    const auto forward = [&](const http::Request& push_request) {
+      return http::fetch(receiver_, push_request, net::Steady::now() + kForwardTimeout);
     };
-    if (carriage == LinkFault::torn || carriage == LinkFault::slow) {
-      bring_in_pieces(request, carriage == LinkFault::torn ? torn_at : std::string::npos,
-                      carriage == LinkFault::slow ? by : 0ns);
-      return {502, "text/plain", "it did not arrive\n", std::nullopt, true};
+    if (fault == LinkFault::torn || fault == LinkFault::slow) {
+      send_in_pieces(request, fault == LinkFault::torn ? torn_bytes : std::string::npos,
+                     fault == LinkFault::slow ? delay : 0ns);
+      return {502, "text/plain", "the push was not forwarded in full\n", std::nullopt, true};
     }
-    if (carriage == LinkFault::older && before.method == "PUT") return bring(before);
-    if (carriage == LinkFault::twice) bring(request);
-    auto answered = bring(request);
-    if (carriage == LinkFault::late) wait(by);
+    if (fault == LinkFault::older && previous_push.method == "PUT") return forward(previous_push);
+    if (fault == LinkFault::twice) forward(request);
+    auto answered = forward(request);
+    if (fault == LinkFault::late) wait(delay);
     return answered;
   } catch (const net::Error& error) {
     return {502, "text/plain", std::string(error.what()) + "\n", std::nullopt, true};
--- a/src/fakes/faulty_link.h
+++ b/src/fakes/faulty_link.h
@@ -1,5 +1,5 @@
-// Stands between a governor and a proxy's receiver, and brings what is pushed late, twice, torn, slowly, or
-// not the newest at all.
+// Forwards pushes from the control plane to the receiver of a proxy, with faults on demand: pushes are
+// delayed, repeated, cut off, slowed down or replaced by an older push.
 #pragma once
 
 #include <condition_variable>
@@ -11,37 +11,37 @@
 namespace ospreypost::fakes {
 
 enum class LinkFault {
-  prompt,
-  late,   // the answer comes after a while
-  twice,  // each push arrives twice
-  older,  // what arrives, and is answered about, is the push before
-  torn,   // each push ends at some byte
-  slow,   // each push takes a while to arrive
+  prompt,  // no fault: each push and its answer are forwarded at once
+  late,    // the answer of the receiver is forwarded after the delay
+  twice,   // each push is forwarded twice
+  older,   // the receiver gets the previous push, and its answer to that push is returned
+  torn,    // each push is cut off at a random byte
+  slow,    // each push is sent in pieces over the delay, and the sender gets an error
 };
 
 class FaultyLink {
  public:
-  // Throws net::Error if the address cannot be had.
+  // Throws net::Error if `listen` can't be bound.
   FaultyLink(const net::Address& listen, const net::Address& receiver, std::uint32_t seed);
   ~FaultyLink() { stop(); }
   net::Address address() const { return server_.address(); }
-  void carry(LinkFault carriage, std::chrono::nanoseconds by);
+  void set_fault(LinkFault fault, std::chrono::nanoseconds delay);
   void stop();
 
  private:
   http::Response answer(const http::Request& request);
-  // Returns early when the courier stops.
-  void wait(std::chrono::nanoseconds time);
-  void bring_in_pieces(const http::Request& request, std::size_t bytes, std::chrono::nanoseconds time);
+  // Returns after `duration`, or earlier when the link is stopped.
+  void wait(std::chrono::nanoseconds duration);
+  void send_in_pieces(const http::Request& request, std::size_t bytes, std::chrono::nanoseconds duration);
 
   const net::Address receiver_;
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false;
-  LinkFault carriage_ = LinkFault::prompt;
-  std::chrono::nanoseconds by_{};
-  http::Request last_;  // push that arrived
-  std::mt19937 chance_;
+  LinkFault fault_ = LinkFault::prompt;
+  std::chrono::nanoseconds delay_{};
+  http::Request last_push_;  // last push that was forwarded in full
+  std::mt19937 generator_;
   http::Server server_;
 };
 
--- a/src/fakes/proxy.cpp
+++ b/src/fakes/proxy.cpp
@@ -15,12 +15,13 @@
 using namespace std::chrono_literals;
 using std::chrono::nanoseconds;
 
-constexpr auto kAskAgain = 250ms;  // after a question that brought nothing
-constexpr auto kReadEvery = 30ms;
-constexpr auto kConnectTime = 250ms;
-constexpr std::size_t kMostIdle = 16;  // connections to one replica
-constexpr int kClientRepeats = 2;
-constexpr auto kBackOff = 100ms;  // of a client, doubling
+constexpr auto kRetryInterval = 250ms;  // until a DNS query without an answer is repeated
+constexpr auto kFileReadInterval = 30ms;
+constexpr auto kConnectTimeout = 250ms;
+constexpr std::size_t kMaxIdleConnections = 16;  // per target
+constexpr int kMaxClientRepeats = 2;
+// Time that a client waits before its first repeat. The time doubles with each repeat.
+constexpr auto kClientBackoff = 100ms;
 
 nanoseconds now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 nanoseconds wall_now() { return std::chrono::system_clock::now().time_since_epoch(); }
@@ -30,59 +31,61 @@
 
 }  // namespace
 
-Proxy::Proxy(const ProxyShape& shape, checker::Trace& trace, std::uint32_t seed)
-    : shape_(shape),
+Proxy::Proxy(const ProxyConfig& config, checker::Trace& trace, std::uint32_t seed)
+    : config_(config),
       trace_(trace),
-      chance_(seed),
-      tables_(shape.classes.size()),
-      asked_(shape.classes.size()),
-      workers_("proxy-worker", shape.workers, 2 * shape.workers) {
-  entry_ = std::make_unique<http::Server>(
-      "proxy-entry", shape_.entry, http::Limits{}, 64,
-      [this](const http::Request& request) { return answer_entry(request); }, [](const std::string&) {});
+      generator_(seed),
+      tables_(config.classes.size()),
+      class_counts_(config.classes.size()),
+      workers_("proxy-worker", config.workers, 2 * config.workers) {
+  entry_server_ = std::make_unique<http::Server>(
+      "proxy-entry", config_.entry, http::Limits{}, 64,
+      [this](const http::Request& request) { return answer_client(request); }, [](const std::string&) {});
 }
 
-void Proxy::reach(const ControlPlaneAddresses& reach) {
+void Proxy::set_addresses(const ControlPlaneAddresses& addresses) {
   const std::lock_guard held(lock_);
-  const bool first = reach_.dns.port == 0;
-  reach_ = reach;
+  const bool first = addresses_.dns.port == 0;
+  addresses_ = addresses;
   changed_.notify_all();
   if (!first || stopping_) return;
-  const auto keep = [this, folder = reach.folder] { folder.empty() ? keep_tables() : keep_reading(folder); };
-  resolving_ = net::Thread("proxy-tables", keep, 2 * net::kSmallStack);
-  reporting_ = net::Thread("proxy-report", [this] { keep_reporting(); });
-  posting_ = net::Thread("proxy-post", [this] { keep_posting(); });
+  const auto update_tables = [this, folder = addresses.folder] {
+    folder.empty() ? refresh_tables() : watch_files(folder);
+  };
+  table_thread_ = net::Thread("proxy-tables", update_tables, 2 * net::kSmallStack);
+  report_thread_ = net::Thread("proxy-report", [this] { collect_reports(); });
+  send_thread_ = net::Thread("proxy-post", [this] { send_reports(); });
 }
 
-void Proxy::be_deaf(bool deaf) {
+void Proxy::ignore_files(bool ignored) {
   const std::lock_guard held(lock_);
-  deaf_ = deaf;
+  files_ignored_ = ignored;
 }
 
-void Proxy::report_late(std::chrono::nanoseconds by) {
+void Proxy::set_report_delay(std::chrono::nanoseconds delay) {
   const std::lock_guard held(lock_);
-  late_ = by;
+  report_delay_ = delay;
 }
 
-void Proxy::cut_off_from(std::set<std::string> replicas) {
+void Proxy::set_unreachable_replicas(std::set<std::string> replicas) {
   const std::lock_guard held(lock_);
-  cut_off_from_ = std::move(replicas);
+  unreachable_replicas_ = std::move(replicas);
 }
 
-void Proxy::be_still(bool still) {
+void Proxy::pause(bool paused) {
   const std::lock_guard held(lock_);
-  still_ = still;
+  paused_ = paused;
   changed_.notify_all();
 }
 
-void Proxy::wait_while_still() {
+void Proxy::wait_while_paused() {
   std::unique_lock held(lock_);
-  changed_.wait(held, [this] { return stopping_ || !still_; });
+  changed_.wait(held, [this] { return stopping_ || !paused_; });
 }
 
-void Proxy::fix(const Resolved& table) {
+void Proxy::use_fixed_table(const Resolved& table) {
   const std::lock_guard held(lock_);
-  for (auto& own : tables_) own = {table, std::chrono::nanoseconds::max(), true};
+  for (auto& current : tables_) current = {table, std::chrono::nanoseconds::max(), true};
 }
 
 void Proxy::stop() {
@@ -92,59 +95,61 @@
   }
   changed_.notify_all();
   workers_.stop();
-  entry_->stop();
-  resolving_.join();
-  reporting_.join();
-  posting_.join();
+  entry_server_->stop();
+  table_thread_.join();
+  report_thread_.join();
+  send_thread_.join();
 }
 
 // --- Tables
 
-void Proxy::keep_tables() {
+void Proxy::refresh_tables() {
   std::unique_lock held(lock_);
   while (!stopping_) {
-    const auto due = std::min_element(tables_.begin(), tables_.end(),
-                                      [](const Table& a, const Table& b) { return a.until < b.until; });
-    if (const auto wait = due->until - now(); wait > 0ns) {
+    const auto due = std::min_element(tables_.begin(), tables_.end(), [](const Table& a, const Table& b) {
+      return a.valid_until < b.valid_until;
+    });
+    if (const auto wait = due->valid_until - now(); wait > 0ns) {
       changed_.wait_for(held, wait);
       continue;
     }
     const auto cls = static_cast<std::size_t>(due - tables_.begin());
     held.unlock();
-    wait_while_still();
+    wait_while_paused();
     refresh(cls);
     held.lock();
   }
 }
 
 void Proxy::refresh(std::size_t cls) {
-  ControlPlaneAddresses reach;
+  ControlPlaneAddresses addresses;
   {
     const std::lock_guard held(lock_);
-    reach = reach_;
+    addresses = addresses_;
   }
-  const auto name = "_" + shape_.classes[cls].name + "._tcp." + shape_.name + ".proxies." + shape_.apex;
-  auto resolved = reach.cut ? Resolved{} : resolve(reach.dns, name);
+  const auto name = "_" + config_.classes[cls].name + "._tcp." + config_.name + ".proxies." + config_.apex;
+  auto resolved = addresses.cut ? Resolved{} : resolve(addresses.dns, name);
   const std::lock_guard held(lock_);
   auto& table = tables_[cls];
   const auto at = now();
   if (resolved.kind == Resolved::Kind::failed) {
-    // Nobody said anything: it goes on with what it holds (RFC 8767) and asks again soon.
-    table.until = at + kAskAgain;
-    if (!table.any) trace_.add(checker::Answered{at, shape_.name, shape_.classes[cls].name, 0, {}, true});
+    // Without an answer, the proxy keeps its expired table (RFC 8767) and repeats the query soon.
+    table.valid_until = at + kRetryInterval;
+    if (!table.received)
+      trace_.add(checker::Answered{at, config_.name, config_.classes[cls].name, 0, {}, true});
     return;
   }
   const auto lifetime = std::chrono::seconds(resolved.lifetime);
-  put(cls, std::move(resolved));
-  table.until =
-      at + (shape_.defects.asks_often ? kAskAgain : std::chrono::duration_cast<nanoseconds>(lifetime));
+  apply_table(cls, std::move(resolved));
+  table.valid_until =
+      at + (config_.defects.ignores_ttl ? kRetryInterval : std::chrono::duration_cast<nanoseconds>(lifetime));
 }
 
-// Goes by it from now on. With the lock held.
-void Proxy::put(std::size_t cls, Resolved resolved) {
+// Makes `resolved` the table of the class and adds it to the trace. The caller holds the lock.
+void Proxy::apply_table(std::size_t cls, Resolved resolved) {
   auto& table = tables_[cls];
   const auto at = now();
-  if (shape_.defects.keeps_old_lines && table.any) {
+  if (config_.defects.keeps_removed_entries && table.received) {
     for (const auto& old : table.resolved.targets) {
       const auto same = [&](const Target& target) { return target.name == old.name; };
       if (std::none_of(resolved.targets.begin(), resolved.targets.end(), same))
@@ -152,31 +157,32 @@
     }
   }
   table.resolved = std::move(resolved);
-  table.any = true;
-  checker::Answered answered{
-      at, shape_.name, shape_.classes[cls].name, table.resolved.version, {}, table.resolved.replicas};
+  table.received = true;
+  checker::Answered answered{at, config_.name,           config_.classes[cls].name, table.resolved.version,
+                             {}, table.resolved.replicas};
   for (const auto& target : table.resolved.targets) answered.names.push_back(target.name);
-  std::erase_if(seen_since_, [&](const auto& seen) {
+  std::erase_if(listed_since_, [&](const auto& seen) {
     return std::find(answered.names.begin(), answered.names.end(), seen.first) == answered.names.end();
   });
-  for (const auto& name : answered.names) seen_since_.try_emplace(name, at);
+  for (const auto& name : answered.names) listed_since_.try_emplace(name, at);
   trace_.add(std::move(answered));
 }
 
-// Follows the link, goes by what it finds there, and says so.
-void Proxy::keep_reading(const std::string& folder) {
+// Reads the tables again whenever the link `current` changes, applies them and acknowledges them in the file
+// `applied`.
+void Proxy::watch_files(const std::string& folder) {
   std::string last;
   std::unique_lock held(lock_);
-  while (!changed_.wait_for(held, kReadEvery, [this] { return stopping_; })) {
+  while (!changed_.wait_for(held, kFileReadInterval, [this] { return stopping_; })) {
     std::error_code error;
     const auto current = std::filesystem::read_symlink(folder + "/current", error).string();
-    if (error || current == last || deaf_ || still_) continue;
+    if (error || current == last || files_ignored_ || paused_) continue;
     held.unlock();
     std::vector<Resolved> tables;
-    for (const auto& cls : shape_.classes) tables.push_back(read_table(folder + "/" + current, cls.name));
+    for (const auto& cls : config_.classes) tables.push_back(read_table(folder + "/" + current, cls.name));
     held.lock();
-    if (deaf_) continue;
-    for (std::size_t n = 0; n < tables.size(); ++n) put(n, std::move(tables[n]));
+    if (files_ignored_) continue;
+    for (std::size_t n = 0; n < tables.size(); ++n) apply_table(n, std::move(tables[n]));
     last = current;
     unsigned long long epoch = 0, version = 0;
     std::sscanf(current.c_str(), "gen-%llu-%llu", &epoch, &version);
@@ -187,100 +193,106 @@
 
 // --- Operations
 
-void Proxy::take(std::uint64_t id, std::size_t cls) {
+void Proxy::submit(std::uint64_t id, std::size_t cls) {
   const auto asked = now();
   const bool taken = workers_.take([this, id, cls] { serve_client(id, cls); });
-  // Answered at once: nobody is there to serve it.
-  if (!taken) trace_.add(checker::Operation{asked, id, shape_.classes[cls].name, std::nullopt});
+  // A rejected operation is answered with an error at once.
+  if (!taken) trace_.add(checker::Operation{asked, id, config_.classes[cls].name, std::nullopt});
 }
 
 void Proxy::serve_client(std::uint64_t id, std::size_t index) {
-  const auto& cls = shape_.classes[index];
+  const auto& cls = config_.classes[index];
   checker::Operation operation{now(), id, cls.name, std::nullopt};
-  const auto until = operation.asked + cls.request_deadline;
-  auto back_off = std::chrono::duration_cast<nanoseconds>(kBackOff);
-  for (int repeat = 0; repeat <= kClientRepeats; ++repeat) {
-    const auto outcome = perform(id, index, until);
-    if (outcome == Outcome::done) operation.answered = now();
-    // A client repeats what is safe after any failure, and the rest only if it never ran.
+  const auto client_deadline = operation.requested_at + cls.request_deadline;
+  auto backoff = std::chrono::duration_cast<nanoseconds>(kClientBackoff);
+  for (int repeat = 0; repeat <= kMaxClientRepeats; ++repeat) {
+    const auto outcome = forward(id, index, client_deadline);
+    if (outcome == Outcome::done) operation.answered_at = now();
+    // A client repeats idempotent operations after any failure, at-most-once operations only if they weren't
+    // executed.
     const bool again = outcome == Outcome::refused || (outcome != Outcome::done && !cls.at_most_once);
-    if (!again || now() + back_off >= until) break;
+    if (!again || now() + backoff >= client_deadline) break;
     std::unique_lock held(lock_);
-    if (changed_.wait_for(held, back_off, [this] { return stopping_; })) break;
-    back_off *= 2;
+    if (changed_.wait_for(held, backoff, [this] { return stopping_; })) break;
+    backoff *= 2;
   }
   trace_.add(std::move(operation));
 }
 
-Proxy::Outcome Proxy::perform(std::uint64_t id, std::size_t index, nanoseconds until) {
-  const auto& cls = shape_.classes[index];
+Proxy::Outcome Proxy::forward(std::uint64_t id, std::size_t index, nanoseconds operation_deadline) {
+  const auto& cls = config_.classes[index];
   {
     const std::lock_guard held(lock_);
-    ++asked_[index].operations;
-    const bool let_in = std::uniform_real_distribution<double>(0, 1)(chance_) < tables_[index].resolved.level;
-    if (!let_in) return Outcome::refused;
+    ++class_counts_[index].operations;
+    const bool admitted =
+        std::uniform_real_distribution<double>(0, 1)(generator_) < tables_[index].resolved.level;
+    if (!admitted) return Outcome::refused;
   }
   std::vector<std::string> tried;
   auto outcome = Outcome::refused;
-  while (now() < until) {
-    wait_while_still();
-    // Each try goes by the table of its own moment: what drains meanwhile must not be tried.
+  while (now() < operation_deadline) {
+    wait_while_paused();
+    // Each attempt uses the current table, since a replica may have begun to drain since the last attempt.
     Resolved table;
     {
       const std::lock_guard held(lock_);
       table = tables_[index].resolved;
     }
-    const std::size_t most = table.retry == "twice" ? 3 : table.retry == "none" ? 1 : 2;
-    const auto target = tried.size() < most ? pick(table, tried) : std::nullopt;
+    const std::size_t max_attempts = table.retry == "twice" ? 3 : table.retry == "none" ? 1 : 2;
+    const auto target = tried.size() < max_attempts ? pick(table, tried) : std::nullopt;
     if (!target) break;
     tried.push_back(target->name);
-    outcome = try_at(*target, table.replicas, id, cls, until);
+    outcome = attempt(*target, table.replicas, id, cls, operation_deadline);
     const bool any_failure = table.retry == "once" || table.retry == "twice";
-    const bool may = outcome == Outcome::refused || (outcome != Outcome::done && any_failure) ||
-                     (outcome == Outcome::unknown && shape_.defects.repeats_after_time_out);
-    if (!may) break;
-    if (shape_.defects.repeats_after_time_out) until = std::max(until, now() + cls.request_deadline);
+    const bool may_retry = outcome == Outcome::refused || (outcome != Outcome::done && any_failure) ||
+                           (outcome == Outcome::unknown && config_.defects.retries_after_timeout);
+    if (!may_retry) break;
+    if (config_.defects.retries_after_timeout)
+      operation_deadline = std::max(operation_deadline, now() + cls.request_deadline);
   }
   if (outcome != Outcome::done) {
     const std::lock_guard held(lock_);
-    ++asked_[index].unanswered;
+    ++class_counts_[index].unanswered;
   }
   return outcome;
 }
 
-// RFC 2782: the lowest priority there is, by weight.
-std::optional<Target> Proxy::pick(const Resolved& from, const std::vector<std::string>& tried) {
-  std::vector<const Target*> may;
-  for (const auto& target : from.targets) {
-    if (std::find(tried.begin(), tried.end(), target.name) == tried.end()) may.push_back(&target);
+// Picks by RFC 2782: among the targets with the lowest priority value, at random by weight.
+std::optional<Target> Proxy::pick(const Resolved& table, const std::vector<std::string>& tried) {
+  std::vector<const Target*> candidates;
+  for (const auto& target : table.targets) {
+    if (std::find(tried.begin(), tried.end(), target.name) == tried.end()) candidates.push_back(&target);
   }
-  if (may.empty()) return std::nullopt;
-  const auto first = (*std::min_element(may.begin(), may.end(), [](auto* a, auto* b) {
-                       return a->priority < b->priority;
-                     }))->priority;
-  std::erase_if(may, [&](const Target* target) { return target->priority != first; });
+  if (candidates.empty()) return std::nullopt;
+  const auto lowest_priority = (*std::min_element(candidates.begin(), candidates.end(), [](auto* a, auto* b) {
+                                 return a->priority < b->priority;
+                               }))->priority;
+  std::erase_if(candidates, [&](const Target* target) { return target->priority != lowest_priority; });
   std::vector<double> weights;
-  for (const auto* target : may) weights.push_back(std::max<double>(target->weight, 0.001));
+  for (const auto* target : candidates) weights.push_back(std::max<double>(target->weight, 0.001));
   const std::lock_guard held(lock_);
-  if (shape_.defects.prefers_new) {
-    return **std::max_element(may.begin(), may.end(),
-                              [&](auto* a, auto* b) { return seen_since_[a->name] < seen_since_[b->name]; });
+  if (config_.defects.prefers_new_targets) {
+    return **std::max_element(candidates.begin(), candidates.end(), [&](auto* a, auto* b) {
+      return listed_since_[a->name] < listed_since_[b->name];
+    });
   }
-  return *may[std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(chance_)];
+  return *candidates[std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(generator_)];
 }
 
-Proxy::Outcome Proxy::try_at(const Target& target, bool replica, std::uint64_t id, const OperationClass& cls,
-                             nanoseconds until) {
-  const auto begun = now();
-  // Waits no longer than makes sense, so that one that hangs is given up on while the client still waits.
-  const auto patience = std::min(until, begun + cls.latency_objective);
-  if (replica) trace_.add(checker::Sent{begun, shape_.name, target.name, id});
+Proxy::Outcome Proxy::attempt(const Target& target, bool replica, std::uint64_t id, const OperationClass& cls,
+                              nanoseconds operation_deadline) {
+  const auto started_at = now();
+  // An attempt ends at the latency objective, so that the client is still waiting when an attempt at a
+  // hanging replica is given up.
+  const auto attempt_deadline = std::min(operation_deadline, started_at + cls.latency_objective);
+  if (replica) trace_.add(checker::Sent{started_at, config_.name, target.name, id});
   auto outcome = Outcome::unknown;
   double util = -1;
   std::unique_ptr<http::Connection> connection;
   try {
-    wait_if_cut_off(target.name, std::min<nanoseconds>(patience, begun + kConnectTime));
-    connection = connection_to(target.address, std::min<nanoseconds>(patience, begun + kConnectTime));
+    fail_if_unreachable(target.name, std::min<nanoseconds>(attempt_deadline, started_at + kConnectTimeout));
+    connection =
+        connection_to(target.address, std::min<nanoseconds>(attempt_deadline, started_at + kConnectTimeout));
   } catch (const net::Error&) {
     outcome = Outcome::refused;
   }
@@ -289,65 +301,68 @@
       http::Request request;
       request.method = "POST";
       request.target = "/op/" + std::to_string(id) + "?class=" + cls.name +
-                       "&work_us=" + std::to_string(std::llround(cls.work_seconds * 1e6)) +
-                       "&expires_ms=" + std::to_string(std::max<long long>(0, (patience - begun) / 1ms));
-      connection->write(request, target.address.text(), deadline(patience));
-      const auto response = connection->read_response(100'000, deadline(patience));
+                       "&work_us=" + std::to_string(std::llround(cls.work_seconds * 1e6)) + "&expires_ms=" +
+                       std::to_string(std::max<long long>(0, (attempt_deadline - started_at) / 1ms));
+      connection->write(request, target.address.text(), deadline(attempt_deadline));
+      const auto response = connection->read_response(100'000, deadline(attempt_deadline));
       outcome = response.status == 200   ? Outcome::done
                 : response.status == 503 ? Outcome::refused
                                          : Outcome::failed;
       const auto load = nlohmann::json::parse(response.body, nullptr, false);
       if (load.is_object()) util = load.value("util", -1.0);
-      if (response.keep_alive) keep(target.address, std::move(connection));
+      if (response.keep_alive) return_connection(target.address, std::move(connection));
     } catch (const net::Error&) {
       outcome = Outcome::unknown;
     }
   }
   if (!replica) return outcome;
   const std::lock_guard held(lock_);
-  auto& met = met_[target.name];
-  ++met.attempts;
-  met.failed += outcome != Outcome::done;
-  if (outcome == Outcome::done) met.handled_seconds += std::chrono::duration<double>(now() - begun).count();
-  if (util >= 0) met.util = util;
+  auto& counts = replica_counts_[target.name];
+  ++counts.attempts;
+  counts.failed += outcome != Outcome::done;
+  if (outcome == Outcome::done)
+    counts.handled_seconds += std::chrono::duration<double>(now() - started_at).count();
+  if (util >= 0) counts.util = util;
   return outcome;
 }
 
-// As a connection is waited for that nobody answers.
-void Proxy::wait_if_cut_off(const std::string& replica, nanoseconds until) {
+// Waits as long as a connection attempt to an unreachable host would.
+void Proxy::fail_if_unreachable(const std::string& replica, nanoseconds wait_end) {
   std::unique_lock held(lock_);
-  if (!cut_off_from_.contains(replica)) return;
-  changed_.wait_for(held, until - now(), [this] { return stopping_; });
-  throw net::Error("nothing comes through to " + replica);
+  if (!unreachable_replicas_.contains(replica)) return;
+  changed_.wait_for(held, wait_end - now(), [this] { return stopping_; });
+  throw net::Error("no connection to the unreachable replica " + replica);
 }
 
-std::unique_ptr<http::Connection> Proxy::connection_to(const net::Address& address, nanoseconds until) {
+std::unique_ptr<http::Connection> Proxy::connection_to(const net::Address& address,
+                                                       nanoseconds connect_deadline) {
   {
     const std::lock_guard held(lock_);
-    auto& idle = idle_[address];
+    auto& idle = idle_connections_[address];
     while (!idle.empty()) {
       auto connection = std::move(idle.back());
       idle.pop_back();
-      // One that its peer has closed meanwhile would lose the operation.
+      // An operation sent on a connection that the peer has closed would be lost.
       if (connection->is_open()) return connection;
     }
   }
-  return std::make_unique<http::Connection>(net::connect(address, deadline(until)));
+  return std::make_unique<http::Connection>(net::connect(address, deadline(connect_deadline)));
 }
 
-void Proxy::keep(const net::Address& address, std::unique_ptr<http::Connection> connection) {
+void Proxy::return_connection(const net::Address& address, std::unique_ptr<http::Connection> connection) {
   const std::lock_guard held(lock_);
-  auto& idle = idle_[address];
-  if (idle.size() < kMostIdle) idle.push_back(std::move(connection));
+  auto& idle = idle_connections_[address];
+  if (idle.size() < kMaxIdleConnections) idle.push_back(std::move(connection));
 }
 
-// Operations of terminals, and of proxies that get no replicas themselves: one go, no client behind it.
-http::Response Proxy::answer_entry(const http::Request& request) {
+// Forwards operations that are sent to the entry address: by caching clients, and by proxies whose tables
+// name this proxy. Such an operation is not repeated as `serve_client` does, since its sender repeats it.
+http::Response Proxy::answer_client(const http::Request& request) {
   const auto id =
       std::strtoull(request.target.c_str() + std::min<std::size_t>(request.target.size(), 4), nullptr, 10);
-  for (std::size_t n = 0; n < shape_.classes.size(); ++n) {
-    if (request.target.find("class=" + shape_.classes[n].name + "&") == std::string::npos) continue;
-    const auto outcome = perform(id, n, now() + shape_.classes[n].request_deadline);
+  for (std::size_t n = 0; n < config_.classes.size(); ++n) {
+    if (request.target.find("class=" + config_.classes[n].name + "&") == std::string::npos) continue;
+    const auto outcome = forward(id, n, now() + config_.classes[n].request_deadline);
     const unsigned status = outcome == Outcome::done ? 200 : outcome == Outcome::refused ? 503 : 500;
     return {status, "application/json", "{}", std::nullopt, true};
   }
@@ -356,43 +371,45 @@
 
 // --- Reports
 
-void Proxy::keep_reporting() {
-  auto from = wall_now();
+void Proxy::collect_reports() {
+  auto begin = wall_now();
   std::unique_lock held(lock_);
-  while (!changed_.wait_for(held, shape_.report_interval, [this] { return stopping_; })) {
+  while (!changed_.wait_for(held, config_.report_interval, [this] { return stopping_; })) {
     held.unlock();
-    wait_while_still();
-    const auto to = wall_now();
-    report(from, to);
+    wait_while_paused();
+    const auto end = wall_now();
+    report(begin, end);
     held.lock();
-    from = to;
+    begin = end;
   }
 }
 
-void Proxy::report(nanoseconds from, nanoseconds to) {
+void Proxy::report(nanoseconds begin, nanoseconds end) {
   load_reports::MetricsReport report;
-  report.proxy = shape_.name;
+  report.proxy = config_.name;
   const std::lock_guard held(lock_);
-  for (const auto& [replica, met] : met_) {
-    load_reports::ReplicaPoint point{replica, {from, to}, met.attempts, met.failed, met.handled_seconds, {}};
-    if (met.util >= 0) point.load["util"] = met.util;
+  for (const auto& [replica, counts] : replica_counts_) {
+    load_reports::ReplicaPoint point{replica,       {begin, end},           counts.attempts,
+                                     counts.failed, counts.handled_seconds, {}};
+    if (counts.util >= 0) point.load["util"] = counts.util;
     report.replicas.push_back(std::move(point));
   }
-  for (std::size_t n = 0; n < asked_.size(); ++n)
+  for (std::size_t n = 0; n < class_counts_.size(); ++n)
     report.classes.push_back(
-        {shape_.classes[n].name, {from, to}, asked_[n].operations, asked_[n].unanswered});
-  met_.clear();
-  std::fill(asked_.begin(), asked_.end(), Asked{});
-  to_post_.emplace(now() + late_, load_reports::write_metrics(report));
+        {config_.classes[n].name, {begin, end}, class_counts_[n].operations, class_counts_[n].unanswered});
+  replica_counts_.clear();
+  std::fill(class_counts_.begin(), class_counts_.end(), ClassCounts{});
+  pending_reports_.emplace(now() + report_delay_, load_reports::write_metrics(report));
   changed_.notify_all();
 }
 
-// What is held up goes out when it is due, whatever went before it.
-void Proxy::keep_posting() {
+// Sends each pending report when it is due. Reports may therefore be sent in another order than they were
+// collected.
+void Proxy::send_reports() {
   std::unique_lock held(lock_);
   while (!stopping_) {
-    if (to_post_.empty() || to_post_.begin()->first > now()) {
-      const auto wait = to_post_.empty() ? nanoseconds(1s) : to_post_.begin()->first - now();
+    if (pending_reports_.empty() || pending_reports_.begin()->first > now()) {
+      const auto wait = pending_reports_.empty() ? nanoseconds(1s) : pending_reports_.begin()->first - now();
       changed_.wait_for(held, wait);
       continue;
     }
@@ -400,15 +417,15 @@
     request.method = "POST";
     request.target = "/v1/metrics";
     request.content_type = "application/json";
-    request.body = std::move(to_post_.begin()->second);
-    to_post_.erase(to_post_.begin());
-    const auto reach = reach_;
-    if (reach.cut) continue;
+    request.body = std::move(pending_reports_.begin()->second);
+    pending_reports_.erase(pending_reports_.begin());
+    const auto addresses = addresses_;
+    if (addresses.cut) continue;
     held.unlock();
     try {
-      http::fetch(reach.reports, request, net::Steady::now() + 1s);
+      http::fetch(addresses.reports, request, net::Steady::now() + 1s);
     } catch (const net::Error&) {
-      // A report that does not arrive is lost; the next one says what comes.
+      // A report that can't be sent is lost. The next report covers only the time after it.
     }
     held.lock();
   }
--- a/src/fakes/replica.cpp
+++ b/src/fakes/replica.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using std::chrono::nanoseconds;
 
-constexpr std::size_t kStack = 128 * 1024;
+constexpr std::size_t kStackBytes = 128 * 1024;
 
 nanoseconds now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
@@ -39,33 +39,33 @@
 
 }  // namespace
 
-// From one start to the next crash. Its threads are joined by whoever crashes it.
-struct Replica::Life {
-  Life(const ReplicaShape& shape, checker::Trace& trace, bool cold)
-      : shape(shape),
+// The replica process from a start to the next crash. Its destructor joins its threads.
+struct Replica::Process {
+  Process(const ReplicaConfig& config, checker::Trace& trace, bool cold)
+      : config(config),
         trace(trace),
-        begun(now()),
-        initial_warm_up_capacity(cold ? shape.initial_warm_up_capacity : 1),
-        listener(net::listen_tcp(shape.address, 64)),
-        crew("replica", shape.most_connections, 4, kStack) {
-    trace.add(checker::Started{begun, shape.name, shape.cores * shape.speed, initial_warm_up_capacity,
-                               shape.warm_up_duration});
-    listening = net::Thread(
-        "replica", [this] { listen(); }, kStack);
+        started_at(now()),
+        initial_warm_up_capacity(cold ? config.initial_warm_up_capacity : 1),
+        listener(net::listen_tcp(config.address, 64)),
+        workers("replica", config.max_connections, 4, kStackBytes) {
+    trace.add(checker::Started{started_at, config.name, config.cores * config.speed, initial_warm_up_capacity,
+                               config.warm_up_duration});
+    listener_thread = net::Thread(
+        "replica", [this] { listen(); }, kStackBytes);
   }
-  ~Life() {
+  ~Process() {
     {
       const std::lock_guard held(lock);
-      dead = true;
-      for (const int descriptor : open) net::shut_down(descriptor);
+      stopped = true;
+      for (const int descriptor : open_connections) net::shut_down(descriptor);
     }
     changed.notify_all();
-    crew.stop();
-    listening.join();
+    workers.stop();
+    listener_thread.join();
   }
 
   void listen() {
-    while (!dead) {
+    while (!stopped) {
       try {
         auto accepted = net::accept(listener, net::Steady::now() + 50ms);
         if (!accepted) continue;
@@ -74,9 +74,9 @@
           continue;
         }
         const auto socket = std::make_shared<net::Socket>(std::move(accepted->first));
-        crew.take([this, socket] { serve(std::move(*socket)); });
+        workers.take([this, socket] { serve(std::move(*socket)); });
       } catch (const net::Error&) {
-        // The next connection may do better.
+        // A failed accept must not end the listener: the next connection may succeed.
       }
     }
   }
@@ -85,19 +85,19 @@
     const int descriptor = socket.get();
     {
       const std::lock_guard held(lock);
-      if (dead) return;
-      open.insert(descriptor);
+      if (stopped) return;
+      open_connections.insert(descriptor);
     }
     http::Connection connection(std::move(socket));
     http::Limits limits;
     limits.idle = 30s;
     try {
-      while (!dead) {
+      while (!stopped) {
         const auto request = connection.read_request(limits);
         if (!request) break;
         const auto response = answer(*request);
-        // A crash breaks the connection rather than ending it.
-        if (dead) connection.socket().reset_on_close();
+        // After a crash, the client sees a connection reset instead of an orderly close.
+        if (stopped) connection.socket().reset_on_close();
         if (!response) break;
         connection.write(*response, net::Steady::now() + 1s);
         if (!response->keep_alive) break;
@@ -105,30 +105,30 @@
     } catch (const net::Error&) {
     }
     const std::lock_guard held(lock);
-    open.erase(descriptor);
+    open_connections.erase(descriptor);
   }
 
-  // Empty where the connection breaks without an answer.
+  // Returns an empty result if the connection must be closed without an answer.
   std::optional<http::Response> answer(const http::Request& request) {
     if (request.target == "/load") return load();
     const auto operation = operation_of(request.target);
     if (!operation) return http::Response{400, "text/plain", "no operation\n", std::nullopt, true};
-    trace.add(checker::Arrived{now(), shape.name, operation->id, operation->work_seconds});
+    trace.add(checker::Arrived{now(), config.name, operation->id, operation->work_seconds});
     if (fault == Fault::hang) {
       std::unique_lock held(lock);
-      changed.wait(held, [this] { return dead || fault != Fault::hang; });
+      changed.wait(held, [this] { return stopped || fault != Fault::hang; });
       return std::nullopt;
     }
-    if (fault == Fault::fast_errors && fails(*operation))
+    if (fault == Fault::fast_errors && fails_fast(*operation))
       return http::Response{500, "text/plain", "failed\n", std::nullopt, true};
-    if (!begin(*operation)) return refused();
-    trace.add(checker::Effect{now(), shape.name, operation->id});
-    const bool done = work(operation->work_seconds);
-    end();
+    if (!acquire_core(*operation)) return refused();
+    trace.add(checker::Effect{now(), config.name, operation->id});
+    const bool done = execute(operation->work_seconds);
+    release_core();
     if (!done) return std::nullopt;
     if (fault == Fault::silent) {
       std::unique_lock held(lock);
-      changed.wait(held, [this] { return dead || fault != Fault::silent; });
+      changed.wait(held, [this] { return stopped || fault != Fault::silent; });
       return std::nullopt;
     }
     auto response = load();
@@ -136,8 +136,9 @@
     return response;
   }
 
-  // A share of them, the same ones each day.
-  bool fails(const Operation& operation) const {
+  // Selects the fraction `factor` of the operations by a hash of their ids, so that each run selects the same
+  // operations.
+  bool fails_fast(const Operation& operation) const {
     return static_cast<double>(operation.id * 2654435761U % 1000) < factor * 1000;
   }
 
@@ -145,77 +146,79 @@
 
   http::Response load() {
     const std::lock_guard held(lock);
-    return {200, "application/json", "{\"util\":" + std::to_string(busy / shape.cores) + "}", std::nullopt,
+    return {200, "application/json", "{\"util\":" + std::to_string(busy / config.cores) + "}", std::nullopt,
             true};
   }
 
-  // Waits for a core. False if the queue is full, or the operation expired first: it is not begun then.
-  bool begin(const Operation& operation) {
+  // Waits for a free core. Returns false, and the operation is not executed, if the queue is full, the
+  // operation expires before a core is free, or the replica is stopped.
+  bool acquire_core(const Operation& operation) {
     std::unique_lock held(lock);
-    if (queued >= shape.most_queued) return false;
+    if (queued >= config.max_queued) return false;
     ++queued;
-    const auto wait = std::max<nanoseconds>(operation.expires - now(), 0ns);
-    const bool mine = changed.wait_for(held, wait, [this] { return dead || busy < shape.cores; }) && !dead;
+    const auto timeout = std::max<nanoseconds>(operation.expires - now(), 0ns);
+    const bool acquired =
+        changed.wait_for(held, timeout, [this] { return stopped || busy < config.cores; }) && !stopped;
     --queued;
-    if (mine) busy += 1;
-    return mine;
+    if (acquired) busy += 1;
+    return acquired;
   }
 
-  void end() {
+  void release_core() {
     const std::lock_guard held(lock);
     busy -= 1;
     changed.notify_all();
   }
 
-  // False if the replica died meanwhile.
-  bool work(double work_seconds) {
-    const double age = shape.warm_up_duration > 0ns
-                           ? std::chrono::duration<double>(now() - begun) / shape.warm_up_duration
-                           : 1;
-    const double warmth =
-        initial_warm_up_capacity + (1 - initial_warm_up_capacity) * std::clamp(age, 0.0, 1.0);
-    const double slower = fault == Fault::slow ? factor.load() : 1;
-    const nanoseconds takes(std::llround(work_seconds / shape.speed / warmth * slower * 1e9));
+  // Returns false if the replica is stopped before the operation is finished.
+  bool execute(double work_seconds) {
+    const double progress = config.warm_up_duration > 0ns
+                                ? std::chrono::duration<double>(now() - started_at) / config.warm_up_duration
+                                : 1;
+    const double capacity =
+        initial_warm_up_capacity + (1 - initial_warm_up_capacity) * std::clamp(progress, 0.0, 1.0);
+    const double slowdown = fault == Fault::slow ? factor.load() : 1;
+    const nanoseconds duration(std::llround(work_seconds / config.speed / capacity * slowdown * 1e9));
     std::unique_lock held(lock);
-    changed.wait_for(held, takes, [this] { return dead.load(); });
-    changed.wait(held, [this] { return dead || fault != Fault::pause; });
-    return !dead;
+    changed.wait_for(held, duration, [this] { return stopped.load(); });
+    changed.wait(held, [this] { return stopped || fault != Fault::pause; });
+    return !stopped;
   }
 
-  const ReplicaShape& shape;
+  const ReplicaConfig& config;
   checker::Trace& trace;
-  const nanoseconds begun;
+  const nanoseconds started_at;
   const double initial_warm_up_capacity;
-  std::atomic<bool> dead = false;
+  std::atomic<bool> stopped = false;
   std::atomic<Fault> fault = Fault::none;
   std::atomic<double> factor = 1;
   std::mutex lock;
   std::condition_variable changed;
   double busy = 0;
   std::size_t queued = 0;
-  std::set<int> open;
+  std::set<int> open_connections;
   net::Socket listener;
-  net::ThreadPool crew;
-  net::Thread listening;
+  net::ThreadPool workers;
+  net::Thread listener_thread;
 };
 
-Replica::Replica(const ReplicaShape& shape, checker::Trace& trace) : shape_(shape), trace_(trace) {}
+Replica::Replica(const ReplicaConfig& config, checker::Trace& trace) : config_(config), trace_(trace) {}
 
 void Replica::start(bool cold) {
   crash();
-  life_ = std::make_shared<Life>(shape_, trace_, cold);
+  process_ = std::make_shared<Process>(config_, trace_, cold);
 }
 
-void Replica::crash() { life_.reset(); }
+void Replica::crash() { process_.reset(); }
 
-void Replica::suffer(Fault fault, double factor) {
-  if (!life_) return;
+void Replica::set_fault(Fault fault, double factor) {
+  if (!process_) return;
   {
-    const std::lock_guard held(life_->lock);
-    life_->fault = fault;
-    life_->factor = factor;
+    const std::lock_guard held(process_->lock);
+    process_->fault = fault;
+    process_->factor = factor;
   }
-  life_->changed.notify_all();
+  process_->changed.notify_all();
 }
 
 }  // namespace ospreypost::fakes
--- a/src/fakes/replica.h
+++ b/src/fakes/replica.h
@@ -1,8 +1,8 @@
-// A replica on TCP (HTTP/1.1): cores, work by class, a cold start, bounded connections and queue, and faults
-// on command. It records what it takes in and what takes effect.
+// Fake replica that serves HTTP/1.1 over TCP. It has a number of cores, a cold start, limits for its
+// connections and its queue, and faults on demand. It adds received and executed operations to the trace.
 //
-//   POST /op/ID?work_us=N&expires_ms=M   200 done, 500 failed, 503 refused before it began
-//   GET /load                            {"util": share of the cores at work}
+//   POST /op/ID?work_us=N&expires_ms=M   200 done, 500 failed, 503 rejected before execution
+//   GET /load                            {"util": fraction of the cores that are busy}
 #pragma once
 
 #include <condition_variable>
@@ -18,32 +18,33 @@
 
 namespace ospreypost::fakes {
 
-struct ReplicaShape {
+struct ReplicaConfig {
   std::string name;
   net::Address address;
   double cores = 2, speed = 1;
   double initial_warm_up_capacity = 1;
   std::chrono::nanoseconds warm_up_duration{};
-  std::size_t most_connections = 96;
-  std::size_t most_queued = 32;
+  std::size_t max_connections = 96;
+  std::size_t max_queued = 32;
 };
 
 class Replica {
  public:
-  Replica(const ReplicaShape& shape, checker::Trace& trace);
+  Replica(const ReplicaConfig& config, checker::Trace& trace);
   ~Replica() { crash(); }
-  // Listens, cold if `cold`. Throws net::Error if its address is taken.
+  // Starts to listen. A `cold` replica begins with `initial_warm_up_capacity`, otherwise it is warm. Throws
+  // net::Error if the address is in use.
   void start(bool cold);
-  // Dies at once: connections break, nothing in hand is finished or answered.
+  // Stops at once: connections are reset, and operations in progress are neither finished nor answered.
   void crash();
-  void suffer(Fault fault, double factor);
-  const ReplicaShape& shape() const { return shape_; }
+  void set_fault(Fault fault, double factor);
+  const ReplicaConfig& config() const { return config_; }
 
  private:
-  struct Life;
-  const ReplicaShape shape_;
+  struct Process;
+  const ReplicaConfig config_;
   checker::Trace& trace_;
-  std::shared_ptr<Life> life_;
+  std::shared_ptr<Process> process_;
 };
 
 }  // namespace ospreypost::fakes
--- a/src/fakes/resolver.cpp
+++ b/src/fakes/resolver.cpp
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-Resolver::Resolver(const net::Address& listen, double factor)
-    : factor_(factor), socket_(net::bind_udp(listen)) {
+Resolver::Resolver(const net::Address& listen, double ttl_multiple)
+    : ttl_multiple_(ttl_multiple), socket_(net::bind_udp(listen)) {
   thread_ = net::Thread("resolver", [this] { serve(); });
 }
 
@@ -24,48 +24,49 @@
 void Resolver::serve() {
   std::array<std::uint8_t, 4096> buffer{};
   while (!stopping_) {
-    const auto got = net::receive_from(socket_, buffer, net::Steady::now() + 100ms);
-    if (!got || got->first < 12) continue;
-    const std::span<const std::uint8_t> question(buffer.data(), got->first);
-    const std::string key(question.begin() + 2, question.end());
-    auto& kept = kept_[key];
-    if (kept.answer.empty() || net::Steady::now() >= kept.until) {
-      kept.answer = ask(question);
-      if (kept.answer.size() < 12) {
-        kept_.erase(key);
+    const auto received = net::receive_from(socket_, buffer, net::Steady::now() + 100ms);
+    if (!received || received->first < 12) continue;
+    const std::span<const std::uint8_t> query(buffer.data(), received->first);
+    const std::string key(query.begin() + 2, query.end());
+    auto& cached = cache_[key];
+    if (cached.answer.empty() || net::Steady::now() >= cached.expires_at) {
+      cached.answer = query_upstream(query);
+      if (cached.answer.size() < 12) {
+        cache_.erase(key);
         continue;
       }
-      kept.until = net::Steady::now() + lifetime_of(kept.answer);
+      cached.expires_at = net::Steady::now() + cache_time(cached.answer);
     }
-    auto answer = kept.answer;
-    answer[0] = question[0];
-    answer[1] = question[1];
-    net::send_to(socket_, answer, got->second);
+    auto answer = cached.answer;
+    answer[0] = query[0];
+    answer[1] = query[1];
+    net::send_to(socket_, answer, received->second);
   }
 }
 
-std::vector<std::uint8_t> Resolver::ask(std::span<const std::uint8_t> question) {
+std::vector<std::uint8_t> Resolver::query_upstream(std::span<const std::uint8_t> query) {
   const auto upstream = upstream_.load();
   if (!upstream) return {};
   std::array<std::uint8_t, 4096> buffer{};
   const auto socket = net::bind_udp({"127.0.0.1", 0});
-  net::send_to(socket, question, *upstream);
-  const auto got = net::receive_from(socket, buffer, net::Steady::now() + 500ms);
-  return got ? std::vector<std::uint8_t>(buffer.begin(),
-                                         buffer.begin() + static_cast<std::ptrdiff_t>(got->first))
-             : std::vector<std::uint8_t>{};
+  net::send_to(socket, query, *upstream);
+  const auto received = net::receive_from(socket, buffer, net::Steady::now() + 500ms);
+  return received ? std::vector<std::uint8_t>(buffer.begin(),
+                                              buffer.begin() + static_cast<std::ptrdiff_t>(received->first))
+                  : std::vector<std::uint8_t>{};
 }
 
-net::Steady::duration Resolver::lifetime_of(const std::vector<std::uint8_t>& answer) const {
+net::Steady::duration Resolver::cache_time(const std::vector<std::uint8_t>& answer) const {
   std::uint32_t seconds = 1;
   try {
-    const auto read = dns::read_answer(answer);
-    if (!read.answers.empty()) seconds = read.answers.front().lifetime;
-    if (read.code == dns::Code::server_failure) seconds = 0;
+    const auto message = dns::read_answer(answer);
+    if (!message.answers.empty()) seconds = message.answers.front().lifetime;
+    if (message.code == dns::Code::server_failure) seconds = 0;
   } catch (const net::Error&) {
     seconds = 0;
   }
-  return std::chrono::duration_cast<net::Steady::duration>(std::chrono::duration<double>(seconds * factor_));
+  return std::chrono::duration_cast<net::Steady::duration>(
+      std::chrono::duration<double>(seconds * ttl_multiple_));
 }
 
 }  // namespace ospreypost::fakes
--- a/src/fakes/resolver.h
+++ b/src/fakes/resolver.h
@@ -1,5 +1,5 @@
-// A caching resolver that holds answers for a stated multiple of their lifetime, and hands them out as if
-// fresh.
+// Fake caching DNS resolver: it caches each answer for a multiple of its TTL and returns cached answers with
+// the original TTL.
 #pragma once
 
 #include <atomic>
@@ -15,26 +15,26 @@
 
 class Resolver {
  public:
-  Resolver(const net::Address& listen, double factor);
+  Resolver(const net::Address& listen, double ttl_multiple);
   ~Resolver() { stop(); }
-  // Where it asks from now on.
-  void upstream(const net::Address& address) { upstream_ = std::make_shared<net::Address>(address); }
+  // Sets the server to which queries that aren't cached are forwarded.
+  void set_upstream(const net::Address& address) { upstream_ = std::make_shared<net::Address>(address); }
   net::Address address() const { return net::local_address(socket_); }
   void stop();
 
  private:
-  struct Kept {
+  struct CachedAnswer {
     std::vector<std::uint8_t> answer;
-    net::Deadline until;
+    net::Deadline expires_at;
   };
   void serve();
-  std::vector<std::uint8_t> ask(std::span<const std::uint8_t> question);
-  net::Steady::duration lifetime_of(const std::vector<std::uint8_t>& answer) const;
+  std::vector<std::uint8_t> query_upstream(std::span<const std::uint8_t> query);
+  net::Steady::duration cache_time(const std::vector<std::uint8_t>& answer) const;
 
-  const double factor_;
+  const double ttl_multiple_;
   net::Socket socket_;
   std::atomic<std::shared_ptr<net::Address>> upstream_;
-  std::map<std::string, Kept> kept_;  // by question, but for its id
+  std::map<std::string, CachedAnswer> cache_;  // by the query without its id
   std::atomic<bool> stopping_ = false;
   net::Thread thread_;
 };
--- a/src/fakes/stub_resolver.cpp
+++ b/src/fakes/stub_resolver.cpp
@@ -15,16 +15,16 @@
 namespace ospreypost::fakes {
 namespace {
 
-constexpr std::size_t kMostBytes = 65535;
+constexpr std::size_t kMaxMessageBytes = 65535;
 
 std::string first_label(const std::string& name) { return name.substr(0, name.find('.')); }
 
 void read_text(const ns_rr& rr, Resolved& resolved) {
-  const auto* at = ns_rr_rdata(rr);
-  const auto* end = at + ns_rr_rdlen(rr);
-  while (at < end && at + 1 + *at <= end) {
-    const std::string pair(reinterpret_cast<const char*>(at + 1), *at);
-    at += 1 + *at;
+  const auto* position = ns_rr_rdata(rr);
+  const auto* end = position + ns_rr_rdlen(rr);
+  while (position < end && position + 1 + *position <= end) {
+    const std::string pair(reinterpret_cast<const char*>(position + 1), *position);
+    position += 1 + *position;
     const auto value = pair.substr(std::min(pair.size(), pair.find('=') + 1));
     if (pair.starts_with("version=")) resolved.version = std::strtoull(value.c_str(), nullptr, 10);
     if (pair.starts_with("level=")) resolved.level = std::strtod(value.c_str(), nullptr);
@@ -32,31 +32,33 @@
   }
 }
 
-// What the server sent; empty with the reason where that is no answer.
-std::vector<unsigned char> ask(const net::Address& server, const std::string& name, bool by_tcp, int& why) {
+// Returns the message of the server. If there is no answer, returns an empty message and sets `error` to the
+// reason.
+std::vector<unsigned char> query(const net::Address& server, const std::string& name, bool by_tcp,
+                                 int& error) {
   struct __res_state state {};
-  why = NETDB_INTERNAL;
+  error = NETDB_INTERNAL;
   if (res_ninit(&state) != 0) return {};
   state.options = (state.options | RES_USE_EDNS0) & ~static_cast<unsigned long>(RES_DNSRCH | RES_DEFNAMES);
   if (by_tcp) state.options |= RES_USEVC;
   state.retrans = 1;
   state.retry = 2;
   state.nscount = 1;
-  auto& to = state.nsaddr_list[0];
-  to.sin_family = AF_INET;
-  to.sin_port = htons(server.port);
-  inet_pton(AF_INET, server.host.c_str(), &to.sin_addr);
-  std::vector<unsigned char> wire(kMostBytes);
+  auto& server_address = state.nsaddr_list[0];
+  server_address.sin_family = AF_INET;
+  server_address.sin_port = htons(server.port);
+  inet_pton(AF_INET, server.host.c_str(), &server_address.sin_addr);
+  std::vector<unsigned char> wire(kMaxMessageBytes);
   const int size =
       res_nquery(&state, name.c_str(), ns_c_in, ns_t_srv, wire.data(), static_cast<int>(wire.size()));
-  why = state.res_h_errno;
+  error = state.res_h_errno;
   res_nclose(&state);
   wire.resize(static_cast<std::size_t>(std::max(size, 0)));
   return wire;
 }
 
-// False if an address of a target is missing.
-bool read(const std::vector<unsigned char>& wire, Resolved& resolved) {
+// Adds the targets of a message to `resolved`. Returns false if the address of a target is missing.
+bool read_targets(const std::vector<unsigned char>& wire, Resolved& resolved) {
   ns_msg message{};
   if (ns_initparse(wire.data(), static_cast<int>(wire.size()), &message) != 0) return true;
   std::map<std::string, std::string> addresses;
@@ -96,15 +98,15 @@
 Resolved resolve(const net::Address& server, const std::string& name) {
   for (const bool by_tcp : {false, true}) {
     Resolved resolved;
-    int why = 0;
-    const auto wire = ask(server, name, by_tcp, why);
+    int error = 0;
+    const auto wire = query(server, name, by_tcp, error);
     if (wire.empty()) {
-      const bool said_no = why == NO_DATA || why == HOST_NOT_FOUND;
-      resolved.kind = said_no ? Resolved::Kind::nobody : Resolved::Kind::failed;
+      const bool no_data = error == NO_DATA || error == HOST_NOT_FOUND;
+      resolved.kind = no_data ? Resolved::Kind::no_endpoints : Resolved::Kind::failed;
       return resolved;
     }
-    // Without room for all addresses, the whole answer comes by TCP.
-    if (!read(wire, resolved)) continue;
+    // The UDP message had no room for all addresses: repeat the query over TCP.
+    if (!read_targets(wire, resolved)) continue;
     if (!resolved.targets.empty()) resolved.kind = Resolved::Kind::answer;
     return resolved;
   }
--- a/src/fakes/stub_resolver.h
+++ b/src/fakes/stub_resolver.h
@@ -1,4 +1,4 @@
-// Resolves SRV names as a plain proxy or a terminal does: by libc's stub resolver, from one server.
+// Resolves SRV names with the stub resolver of libc from one server, as plain proxies and clients do.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,23 @@
 namespace ospreypost::fakes {
 
 struct Target {
-  std::string name;  // its first label
+  std::string name;  // first label of the host name
   net::Address address;
   std::uint16_t priority = 0, weight = 0;
 };
 
 struct Resolved {
-  enum class Kind { answer, nobody, failed } kind = Kind::failed;
+  enum class Kind { answer, no_endpoints, failed } kind = Kind::failed;
   std::uint32_t lifetime = 1;  // seconds
   std::vector<Target> targets;
-  bool replicas = false;  // they stand under the replicas' branch of the names
+  bool replicas = false;  // the targets are replicas: their names are below "replicas"
   std::uint64_t version = 0;
-  double level = 1;
+  double level = 1;  // admitted fraction of the operations
   std::string retry = "none";
 };
 
-// Asks once more after a second without an answer; by TCP if the answer, or an address in it, did not fit.
+// Sends the query a second time if there is no answer within 1 s. Repeats it over TCP if the answer, or the
+// address of a target, didn't fit into a UDP message.
 Resolved resolve(const net::Address& server, const std::string& name);
 
 }  // namespace ospreypost::fakes
--- a/src/fakes/tables.cpp
+++ b/src/fakes/tables.cpp
@@ -17,7 +17,7 @@
   return table;
 }
 
-std::optional<std::string> text_of(const std::string& path) {
+std::optional<std::string> read_text(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) return std::nullopt;
   std::ostringstream text;
@@ -25,11 +25,11 @@
   return text.str();
 }
 
-// "key=" up to the next space, ';' or end.
+// Returns the text after `key`, up to the next space, ';' or the end of the line; empty if `key` is missing.
 std::string word_after(const std::string& line, const std::string& key) {
-  const auto at = line.find(key);
-  if (at == std::string::npos) return {};
-  const auto from = at + key.size();
+  const auto key_position = line.find(key);
+  if (key_position == std::string::npos) return {};
+  const auto from = key_position + key.size();
   return line.substr(from, line.find_first_of(" ;", from) - from);
 }
 
@@ -64,7 +64,7 @@
   auto table = empty_table();
   std::istringstream lines(text);
   std::string line;
-  bool open = false, closed = false;
+  bool block_open = false, block_closed = false;
   try {
     while (std::getline(lines, line)) {
       if (line.starts_with("# version=")) {
@@ -72,10 +72,11 @@
         table.level = std::stod(word_after(line, "level="));
         table.retry = word_after(line, "retry=");
       } else if (line.starts_with("upstream ") && line.ends_with(" {")) {
-        open = true;
+        block_open = true;
       } else if (line == "}") {
-        closed = true;
-      } else if (const auto at = line.find("server "); open && !closed && at != std::string::npos) {
+        block_closed = true;
+      } else if (const auto at = line.find("server ");
+                 block_open && !block_closed && at != std::string::npos) {
         const auto name = line.rfind("# ");
         if (line.find(" down;") != std::string::npos) continue;
         if (name == std::string::npos) return {};
@@ -87,12 +88,12 @@
   } catch (const std::exception&) {
     return {};
   }
-  return open && closed ? table : Resolved{};
+  return block_open && block_closed ? table : Resolved{};
 }
 
 Resolved read_table(const std::string& folder, const std::string& cls) {
-  if (const auto text = text_of(folder + "/" + cls + ".json")) return read_envoy(*text);
-  const auto text = text_of(folder + "/" + cls + ".conf");
+  if (const auto text = read_text(folder + "/" + cls + ".json")) return read_envoy(*text);
+  const auto text = read_text(folder + "/" + cls + ".conf");
   return text ? read_upstream(*text) : Resolved{};
 }
 
--- a/src/fakes/tables.h
+++ b/src/fakes/tables.h
@@ -1,5 +1,5 @@
-// Reads a proxy's table from a file, in the forms that Envoy's and nginx's documentation give; shares nothing
-// with whoever writes them.
+// Reads a routing table from a file in the format of Envoy or nginx. The readers follow the documentation of
+// these formats and share no code with the writers, so that tests of the written files are independent.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace ospreypost::fakes {
 
-// Kind::failed if the text is no table of that form.
+// Both return Kind::failed if the text isn't a table of that format.
 Resolved read_envoy(const std::string& text);     // JSON, file-based endpoint discovery
 Resolved read_upstream(const std::string& text);  // `upstream NAME { server ADDRESS weight=N; ... }`
 
-// FOLDER/CLASS.json, else FOLDER/CLASS.conf.
+// Reads FOLDER/CLASS.json or, if that file is missing, FOLDER/CLASS.conf.
 Resolved read_table(const std::string& folder, const std::string& cls);
 
 }  // namespace ospreypost::fakes
--- a/src/scenario/child_process.h
+++ b/src/scenario/child_process.h
@@ -1,4 +1,4 @@
-// A governor or a receiver in a process of its own, started and ended by the day.
+// A control plane or a receiver in a child process that the scenario starts and ends.
 #pragma once
 
 #include <sys/types.h>
@@ -12,21 +12,22 @@
 
 class ChildProcess {
  public:
-  // Starts the program with these words and waits until it says that it serves. Throws net::Error if it does
-  // not.
-  ChildProcess(const std::string& program, std::vector<std::string> words);
+  // Starts the program with these arguments and waits for its line "ready". Throws net::Error if that line
+  // doesn't come in time.
+  ChildProcess(const std::string& program, std::vector<std::string> arguments);
   ~ChildProcess() { kill(); }
-  // From now on it cannot write a byte to any file; or it can again.
+  // Makes each write of the process to a file fail (`full`), as on a full disk, or succeed again.
   void fill_disk(bool full);
-  // Stands still, or goes on (SIGSTOP, SIGCONT).
+  // Suspends or resumes the process (SIGSTOP, SIGCONT).
   void pause(bool paused);
-  // Outright, as a machine that loses its power.
+  // Kills the process with SIGKILL, so that it can't clean up, as after a loss of power.
   void kill();
-  // Asks it to end; how long it took. Throws net::Error if its status was not 0.
+  // Ends the process with SIGTERM and returns the time until it exited. Throws net::Error if its exit status
+  // isn't 0.
   net::Steady::duration stop();
 
  private:
-  int wait();
+  int wait_for_exit();
 
   pid_t process_ = -1;
 };
--- a/src/scenario/composed.h
+++ b/src/scenario/composed.h
@@ -1,4 +1,5 @@
-// Elements of a day file that stand for many troubles: a deploy is a drain for each replica in its turn.
+// Composed elements of a scenario file. Each element stands for several faults: a deploy, for instance, for a
+// drain of each batch of replicas in turn.
 #pragma once
 
 #include <vector>
@@ -8,7 +9,8 @@
 namespace ospreypost::scenario {
 
 bool is_composed(const config::Element& element);
-// Throws config::Faulty. The script must have its fleet.
-std::vector<Fault> compose(const config::Element& element, const Scenario& script);
+// Returns the faults of a composed element. The fleet of `scenario` must be complete. Throws
+// config::ConfigError if the element is invalid.
+std::vector<Fault> compose(const config::Element& element, const Scenario& scenario);
 
 }  // namespace ospreypost::scenario
--- a/src/scenario/run.cpp
+++ b/src/scenario/run.cpp
@@ -19,19 +19,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kLead = 1500ms;  // for proxies to get their tables, before there is traffic
+// Time for the proxies to receive their first tables before the traffic starts.
+constexpr auto kTableLeadTime = 1500ms;
 
 Nanos now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
-void sleep_until(Nanos at) {
-  const timespec until{at.count() / 1'000'000'000, at.count() % 1'000'000'000};
+void sleep_until(Nanos time) {
+  const timespec until{time.count() / 1'000'000'000, time.count() % 1'000'000'000};
   while (::clock_nanosleep(CLOCK_MONOTONIC, TIMER_ABSTIME, &until, nullptr) == EINTR) {
   }
 }
 
-std::filesystem::path make_folder() {
+std::filesystem::path make_temporary_folder() {
   auto pattern = (std::filesystem::temp_directory_path() / "ospreypost-day-XXXXXX").string();
-  if (!::mkdtemp(pattern.data())) throw net::Error("no folder for the day");
+  if (!::mkdtemp(pattern.data())) throw net::Error("cannot create a temporary folder for the scenario");
   return pattern;
 }
 
@@ -47,49 +48,52 @@
                                   config.classes.begin());
 }
 
-// What bursts bring beyond the usual: drawn apart, so that a day without them stays as it was.
-void add_bursts(const Scenario& script, const config::Config& config, std::vector<Arrival>& arrivals) {
-  std::mt19937 chance(script.seed + 1);
-  double usual = 0;
-  for (const auto& proxy : config.proxies.known) usual += proxy.usual_rate;
-  for (const auto& burst : script.troubles) {
-    if (burst.kind != TroubleKind::burst || burst.factor <= 1) continue;
-    const double rise = std::max(1e-3, std::chrono::duration<double>(burst.second).count());
-    const double lasts = std::chrono::duration<double>(burst.lasts).count();
+// Adds the arrivals of bursts. They are drawn from a generator of their own, so that the other arrivals are
+// the same as in the scenario without bursts.
+void add_bursts(const Scenario& scenario, const config::Config& config, std::vector<Arrival>& arrivals) {
+  std::mt19937 generator(scenario.seed + 1);
+  double total_usual_rate = 0;
+  for (const auto& proxy : config.proxies.known) total_usual_rate += proxy.usual_rate;
+  for (const auto& burst : scenario.faults) {
+    if (burst.kind != FaultKind::burst || burst.factor <= 1) continue;
+    const double rise = std::max(1e-3, std::chrono::duration<double>(burst.delay).count());
+    const double duration = std::chrono::duration<double>(burst.duration).count();
     for (const auto& proxy : config.proxies.known) {
-      for (const auto& traffic : script.traffic) {
-        const double most = (burst.factor - 1) * traffic.rate * proxy.usual_rate / std::max(1e-9, usual);
-        if (most <= 0) continue;
-        std::exponential_distribution<double> gap(most);
+      for (const auto& traffic : scenario.traffic) {
+        const double extra_rate =
+            (burst.factor - 1) * traffic.rate * proxy.usual_rate / std::max(1e-9, total_usual_rate);
+        if (extra_rate <= 0) continue;
+        std::exponential_distribution<double> gap(extra_rate);
         std::uniform_real_distribution<double> share(0, 1);
-        for (double at = gap(chance); at < lasts; at += gap(chance)) {
-          const bool comes = share(chance) < std::min({1.0, at / rise, (lasts - at) / rise});
-          const Nanos moment = burst.at + Nanos(std::llround(at * 1e9));
-          if (comes && moment < script.length)
-            arrivals.push_back({moment, proxy.name, class_of(config, traffic.name), 0});
+        for (double at = gap(generator); at < duration; at += gap(generator)) {
+          const bool accepted = share(generator) < std::min({1.0, at / rise, (duration - at) / rise});
+          const Nanos time = burst.at + Nanos(std::llround(at * 1e9));
+          if (accepted && time < scenario.length)
+            arrivals.push_back({time, proxy.name, class_of(config, traffic.name), 0});
         }
       }
     }
   }
 }
 
-// Poisson streams of all proxies and classes, merged; the seed decides.
-std::vector<Arrival> arrivals_of(const Scenario& script, const config::Config& config) {
-  std::mt19937 chance(script.seed);
+// Draws Poisson arrivals for each proxy and class with the seed of the scenario, and merges them in order of
+// time.
+std::vector<Arrival> draw_arrivals(const Scenario& scenario, const config::Config& config) {
+  std::mt19937 generator(scenario.seed);
   std::vector<Arrival> arrivals;
-  double usual = 0;
-  for (const auto& proxy : config.proxies.known) usual += proxy.usual_rate;
+  double total_usual_rate = 0;
+  for (const auto& proxy : config.proxies.known) total_usual_rate += proxy.usual_rate;
   for (const auto& proxy : config.proxies.known) {
-    for (const auto& traffic : script.traffic) {
-      const double rate = traffic.rate * proxy.usual_rate / std::max(1e-9, usual);
+    for (const auto& traffic : scenario.traffic) {
+      const double rate = traffic.rate * proxy.usual_rate / std::max(1e-9, total_usual_rate);
       if (rate <= 0) continue;
       const auto cls = class_of(config, traffic.name);
       std::exponential_distribution<double> gap(rate);
-      for (double at = gap(chance); Nanos(std::llround(at * 1e9)) < script.length; at += gap(chance))
+      for (double at = gap(generator); Nanos(std::llround(at * 1e9)) < scenario.length; at += gap(generator))
         arrivals.push_back({Nanos(std::llround(at * 1e9)), proxy.name, cls, 0});
     }
   }
-  add_bursts(script, config, arrivals);
+  add_bursts(scenario, config, arrivals);
   std::stable_sort(arrivals.begin(), arrivals.end(), [](auto& a, auto& b) { return a.at < b.at; });
   for (std::size_t n = 0; n < arrivals.size(); ++n) arrivals[n].id = n + 1;
   return arrivals;
@@ -97,264 +101,281 @@
 
 struct Step {
   Nanos at{};
-  std::string what;
-  std::function<void()> act;
+  std::string description;
+  std::function<void()> action;
 };
 
-class Run {
+class ScenarioRun {
  public:
-  Run(const Scenario& script, const RunOptions& options)
-      : script_(script),
+  ScenarioRun(const Scenario& scenario, const RunOptions& options)
+      : scenario_(scenario),
         options_(options),
-        config_(config::read_config(script.governor_path)),
-        folder_(options.folder.empty() ? make_folder() : std::filesystem::path(options.folder)),
+        config_(config::read_config(scenario.governor_path)),
+        folder_(options.folder.empty() ? make_temporary_folder() : std::filesystem::path(options.folder)),
         config_path_((folder_ / "governor.xml").string()) {
-    check_names(script, config_);
+    check_names(scenario, config_);
     std::filesystem::create_directories(folder_);
-    stage_.emplace(script, config_, folder_, trace_, options.defects);
-    const auto original = config::read_file(script.governor_path);
+    environment_.emplace(scenario, config_, folder_, trace_, options.defects);
+    const auto original = config::read_file(scenario.governor_path);
     for (const std::size_t number : {1, 2}) {
-      auto text = stage_->configuration(original, script.governor_path, number);
+      auto text = environment_->configuration(original, scenario.governor_path, number);
       if (options.change_configuration) text = options.change_configuration(std::move(text));
       std::ofstream(number == 1 ? config_path_ : config_path_ + ".2") << text;
     }
   }
-  ~Run() {
+  ~ScenarioRun() {
     std::error_code ignored;
     if (options_.folder.empty()) std::filesystem::remove_all(folder_, ignored);
   }
 
-  ScenarioResult play() {
+  ScenarioResult run() {
     if (options_.equal_weights) {
-      stage_->start_with_equal_weights();
+      environment_->start_with_equal_weights();
     } else {
-      stage_->start_receivers(options_.program);
-      raise_governor();
-      stage_->start();
+      environment_->start_receivers(options_.program);
+      start_governor();
+      environment_->start();
     }
-    begin_ = now() + kLead;
-    const auto steps = steps_of();
-    const auto arrivals = arrivals_of(script_, config_);
-    net::Thread hand("stage-hand", [&] { play_steps(steps); });
+    begin_ = now() + kTableLeadTime;
+    const auto steps = make_steps();
+    const auto arrivals = draw_arrivals(scenario_, config_);
+    net::Thread step_thread("scenario-steps", [&] { run_steps(steps); });
     for (const auto& arrival : arrivals) {
       sleep_until(begin_ + arrival.at);
-      stage_->proxy(arrival.proxy).take(arrival.id, arrival.cls);
+      environment_->proxy(arrival.proxy).submit(arrival.id, arrival.cls);
     }
-    sleep_until(begin_ + script_.length);
-    hand.join();
-    Nanos longest{};
-    for (const auto& cls : config_.settings.classes) longest = std::max(longest, cls.request_deadline);
-    sleep_until(begin_ + script_.length + longest);
+    sleep_until(begin_ + scenario_.length);
+    step_thread.join();
+    Nanos longest_deadline{};
+    for (const auto& cls : config_.settings.classes)
+      longest_deadline = std::max(longest_deadline, cls.request_deadline);
+    sleep_until(begin_ + scenario_.length + longest_deadline);
     const auto end = now();
-    if (governor_) governor_->pause(false);  // it may still stand, and must be asked
-    count_waiting();
-    ScenarioResult played;
-    played.stop_duration = governor_ ? governor_->stop() : Nanos{};
+    if (governor_) governor_->pause(false);  // a paused process can't answer or exit
+    read_max_queued_entries();
+    ScenarioResult result;
+    result.stop_duration = governor_ ? governor_->stop() : Nanos{};
     trace_.add(checker::GovernorStatus{now(), false});
-    second_.reset();
-    stage_->stop();
+    second_governor_.reset();
+    environment_->stop();
     const auto limits = limits_of();
-    played.check_result = checker::check_invariants(trace_, limits, end, worst_waiting_);
-    played.timeline = timeline_;
-    played.service_by_second = checker::service_by_second(trace_, limits, begin_, begin_ + script_.length);
-    played.folder = folder_.string();
-    return played;
+    result.check_result = checker::check_invariants(trace_, limits, end, max_queued_entries_);
+    result.timeline = timeline_;
+    result.service_by_second = checker::service_by_second(trace_, limits, begin_, begin_ + scenario_.length);
+    result.folder = folder_.string();
+    return result;
   }
 
  private:
-  void raise_governor() {
+  void start_governor() {
     if (options_.equal_weights) return;
     governor_.emplace(options_.program, std::vector<std::string>{"serve", config_path_});
     trace_.add(checker::GovernorStatus{now(), true});
   }
 
-  // What it is told meanwhile it learns when it goes on.
-  void hold_governor(bool still) {
+  // Suspends or resumes the control plane process. Messages that arrive while it is suspended are processed
+  // when it is resumed.
+  void pause_governor(bool paused) {
     if (!governor_) return;
-    governor_->pause(still);
-    trace_.add(checker::GovernorStatus{now(), !still});
+    governor_->pause(paused);
+    trace_.add(checker::GovernorStatus{now(), !paused});
   }
 
-  void count_waiting() {
+  void read_max_queued_entries() {
     if (!governor_) return;
     try {
       http::Request request;
       request.target = "/versions";
-      const auto got = http::fetch(stage_->reports(), request, net::Steady::now() + 2s);
-      const auto rows = nlohmann::json::parse(got.body);
-      worst_waiting_ = std::max(worst_waiting_, rows.at(0).value("worst-waiting", 0.0));
+      const auto response = http::fetch(environment_->reports(), request, net::Steady::now() + 2s);
+      const auto rows = nlohmann::json::parse(response.body);
+      max_queued_entries_ = std::max(max_queued_entries_, rows.at(0).value("worst-waiting", 0.0));
     } catch (const std::exception&) {
-      worst_waiting_ = 1e18;  // a governor that does not answer keeps no rule
+      max_queued_entries_ = 1e18;  // a control plane that doesn't answer breaks the rule about its queue
     }
   }
 
-  // As far as the governor lets it.
-  void go_back(const std::string& proxy) {
+  // Rolls the proxy back to the first of its kept generations for which the control plane accepts the
+  // rollback.
+  void roll_back(const std::string& proxy) {
     http::Request request;
     request.target = "/generations/" + proxy;
     const auto until = net::Steady::now() + 2s;
-    const auto state = nlohmann::json::parse(http::fetch(stage_->reports(), request, until).body);
+    const auto state = nlohmann::json::parse(http::fetch(environment_->reports(), request, until).body);
     request.method = "POST";
-    for (const auto& stamp : state.at("kept")) {
-      request.target = "/rollback/" + proxy + "?version=" + stamp.at(1).dump();
-      if (http::fetch(stage_->reports(), request, until).status == 200) return;
+    for (const auto& generation : state.at("kept")) {
+      request.target = "/rollback/" + proxy + "?version=" + generation.at(1).dump();
+      if (http::fetch(environment_->reports(), request, until).status == 200) return;
     }
-    throw net::Error("there was no way back for " + proxy);
+    throw net::Error("the control plane accepted no rollback for proxy " + proxy);
   }
 
-  std::vector<Step> steps_of() {
+  std::vector<Step> make_steps() {
     std::vector<Step> steps;
-    const auto add = [&](Nanos at, const std::string& what, std::function<void()> act) {
-      if (at < script_.length) steps.push_back({at, what, std::move(act)});
+    const auto add = [&](Nanos at, const std::string& description, std::function<void()> action) {
+      if (at < scenario_.length) steps.push_back({at, description, std::move(action)});
     };
-    auto troubles = script_.troubles;
-    for (auto& trouble : drawn(script_)) troubles.push_back(std::move(trouble));
-    for (const auto& trouble : troubles) add_trouble(trouble, add);
+    auto faults = scenario_.faults;
+    for (auto& fault : draw_crash_faults(scenario_)) faults.push_back(std::move(fault));
+    for (const auto& fault : faults) add_fault_steps(fault, add);
     std::stable_sort(steps.begin(), steps.end(), [](auto& a, auto& b) { return a.at < b.at; });
     return steps;
   }
 
   template <typename Add>
-  void add_trouble(const Fault& trouble, Add add) {
-    auto& roll = stage_->roll();
-    const auto end = trouble.at + trouble.lasts;
-    const auto back = [this, &roll](const std::string& name) {
-      stage_->replica(name).start(true);
-      roll.list(name, checker::EndpointPhase::ready, true);
+  void add_fault_steps(const Fault& fault, Add add) {
+    auto& endpoint_list = environment_->endpoint_list();
+    const auto end = fault.at + fault.duration;
+    const auto start_cold = [this, &endpoint_list](const std::string& name) {
+      environment_->replica(name).start(true);
+      endpoint_list.set_phase(name, checker::EndpointPhase::ready, true);
     };
-    // Something that holds from its beginning to its end.
-    const auto each = [&](const std::string& begins, const std::string& ends, auto hold) {
-      for (const auto& name : trouble.whom) {
-        add(trouble.at, begins + name, [hold, name] { hold(name, true); });
-        add(end, ends + name, [hold, name] { hold(name, false); });
+    // Adds one step at the start and one at the end of the fault, for each target.
+    const auto add_begin_and_end = [&](const std::string& begin_text, const std::string& end_text,
+                                       auto apply) {
+      for (const auto& name : fault.targets) {
+        add(fault.at, begin_text + name, [apply, name] { apply(name, true); });
+        add(end, end_text + name, [apply, name] { apply(name, false); });
       }
     };
-    const auto listed_gone = [&roll](const std::string& name) {
-      roll.list(name, checker::EndpointPhase::gone, false);
+    const auto remove_from_list = [&endpoint_list](const std::string& name) {
+      endpoint_list.set_phase(name, checker::EndpointPhase::gone, false);
     };
-    // A replica leaves in two steps, and is back cold.
-    const auto leaves = [&](const std::string& begins, const std::string& goes, auto begin, auto go) {
-      for (const auto& name : trouble.whom) {
-        add(trouble.at, begins + name, [begin, name] { begin(name); });
-        add(trouble.at + trouble.second, goes + name, [go, name] { go(name); });
-        add(end, "back cold " + name, [back, name] { back(name); });
+    // Adds three steps for each target: the fault begins, the replica leaves the endpoint list after `delay`,
+    // and it starts cold at the end of the fault.
+    const auto add_departure = [&](const std::string& begin_text, const std::string& leave_text, auto begin,
+                                   auto leave) {
+      for (const auto& name : fault.targets) {
+        add(fault.at, begin_text + name, [begin, name] { begin(name); });
+        add(fault.at + fault.delay, leave_text + name, [leave, name] { leave(name); });
+        add(end, "started cold " + name, [start_cold, name] { start_cold(name); });
       }
     };
-    switch (trouble.kind) {
-      case TroubleKind::crash:
-        leaves(
-            "crash ", "gone from the roll ", [this](const auto& name) { stage_->replica(name).crash(); },
-            listed_gone);
+    switch (fault.kind) {
+      case FaultKind::crash:
+        add_departure(
+            "crash ", "removed from the endpoint list ",
+            [this](const auto& name) { environment_->replica(name).crash(); }, remove_from_list);
         return;
-      case TroubleKind::drain:
-        leaves(
-            "drain ", "leaves ",
-            [&roll](const auto& name) { roll.list(name, checker::EndpointPhase::draining, false); },
-            [this, listed_gone](const auto& name) {
-              listed_gone(name);
-              stage_->replica(name).crash();
+      case FaultKind::drain:
+        add_departure(
+            "drain ", "left the endpoint list ",
+            [&endpoint_list](const auto& name) {
+              endpoint_list.set_phase(name, checker::EndpointPhase::draining, false);
+            },
+            [this, remove_from_list](const auto& name) {
+              remove_from_list(name);
+              environment_->replica(name).crash();
             });
         return;
-      case TroubleKind::cut:
-        each("cut ", "whole again ", [this](const auto& name, bool cut) { stage_->cut(name, cut); });
+      case FaultKind::cut:
+        add_begin_and_end("cut ", "connection restored ",
+                          [this](const auto& name, bool cut) { environment_->cut(name, cut); });
         return;
-      case TroubleKind::receiver_killed:
-        each("receiver killed ", "receiver starts ", [this](const auto& name, bool killed) {
-          killed ? stage_->kill_receiver(name) : stage_->start_receiver(options_.program, name);
+      case FaultKind::receiver_killed:
+        add_begin_and_end("receiver killed ", "receiver started ", [this](const auto& name, bool killed) {
+          killed ? environment_->kill_receiver(name) : environment_->start_receiver(options_.program, name);
         });
         return;
-      case TroubleKind::push_fault:
-        each("pushes " + trouble.becomes + " ", "pushes prompt ",
-             [this, carriage = carriage_of(trouble.becomes), by = trouble.second](const auto& name,
-                                                                                  bool faulty) {
-               stage_->push_fault(name, faulty ? carriage : fakes::LinkFault::prompt, faulty ? by : Nanos{});
-             });
+      case FaultKind::push_fault:
+        add_begin_and_end("pushes " + fault.becomes + " ", "pushes normal ",
+                          [this, link_fault = link_fault_of(fault.becomes), delay = fault.delay](
+                              const auto& name, bool faulty) {
+                            environment_->push_fault(name, faulty ? link_fault : fakes::LinkFault::prompt,
+                                                     faulty ? delay : Nanos{});
+                          });
         return;
-      case TroubleKind::deaf:
-        each("deaf ", "reads again ", [this](const auto& name, bool deaf) { stage_->be_deaf(name, deaf); });
+      case FaultKind::deaf:
+        add_begin_and_end(
+            "ignores new tables ", "reads new tables again ",
+            [this](const auto& name, bool ignored) { environment_->ignore_files(name, ignored); });
         return;
-      case TroubleKind::way_back:
-        for (const auto& name : trouble.whom)
-          add(trouble.at, "way back " + name, [this, name] { go_back(name); });
+      case FaultKind::way_back:
+        for (const auto& name : fault.targets)
+          add(fault.at, "rollback " + name, [this, name] { roll_back(name); });
         return;
-      case TroubleKind::disk_full:
-        each("disk full ", "room again ", [this](const auto& name, bool full) {
-          if (!stage_->fill_disk(name, full) && governor_) governor_->fill_disk(full);
+      case FaultKind::disk_full:
+        add_begin_and_end("disk full ", "disk writable again ", [this](const auto& name, bool full) {
+          if (!environment_->fill_disk(name, full) && governor_) governor_->fill_disk(full);
         });
         return;
-      case TroubleKind::second_governor:
-        add(trouble.at, "second governor starts", [this] {
-          second_.emplace(options_.program, std::vector<std::string>{"serve", config_path_ + ".2"});
+      case FaultKind::second_governor:
+        add(fault.at, "second governor started", [this] {
+          second_governor_.emplace(options_.program, std::vector<std::string>{"serve", config_path_ + ".2"});
         });
-        add(end, "second governor killed", [this] { second_.reset(); });
+        add(end, "second governor killed", [this] { second_governor_.reset(); });
         return;
-      case TroubleKind::governor_killed:
-        add(trouble.at, "governor killed", [this] {
-          count_waiting();
+      case FaultKind::governor_killed:
+        add(fault.at, "governor killed", [this] {
+          read_max_queued_entries();
           governor_.reset();
           trace_.add(checker::GovernorStatus{now(), false});
         });
-        add(end, "governor starts", [this] { raise_governor(); });
+        add(end, "governor started", [this] { start_governor(); });
         return;
-      case TroubleKind::vanish:
-        leaves(
-            "vanish ", "gone from the roll ",
-            [this](const auto& name) { stage_->replica(name).suffer(fakes::Fault::hang, 1); }, listed_gone);
+      case FaultKind::vanish:
+        add_departure(
+            "vanish ", "removed from the endpoint list ",
+            [this](const auto& name) { environment_->replica(name).set_fault(fakes::Fault::hang, 1); },
+            remove_from_list);
         return;
-      case TroubleKind::governor_still:
-        add(trouble.at, "governor stands still", [this] { hold_governor(true); });
-        add(end, "governor goes on", [this] { hold_governor(false); });
+      case FaultKind::governor_still:
+        add(fault.at, "governor paused", [this] { pause_governor(true); });
+        add(end, "governor resumed", [this] { pause_governor(false); });
         return;
-      case TroubleKind::proxy_still:
-        each("still ", "goes on ", [this](const auto& name, bool still) { stage_->be_still(name, still); });
+      case FaultKind::proxy_still:
+        add_begin_and_end("paused ", "resumed ",
+                          [this](const auto& name, bool paused) { environment_->pause_proxy(name, paused); });
         return;
-      case TroubleKind::report_late:
-        each("reports late ", "reports prompt ", [this, by = trouble.second](const auto& name, bool late) {
-          stage_->proxy(name).report_late(late ? by : Nanos{});
-        });
+      case FaultKind::report_late:
+        add_begin_and_end("reports delayed ", "reports no longer delayed ",
+                          [this, delay = fault.delay](const auto& name, bool late) {
+                            environment_->proxy(name).set_report_delay(late ? delay : Nanos{});
+                          });
         return;
-      case TroubleKind::zone_cut:
-        each("zone cut off ", "zone whole again ",
-             [this](const auto& zone, bool cut) { stage_->cut_zone(zone, cut); });
+      case FaultKind::zone_cut:
+        add_begin_and_end("zone cut off ", "zone reconnected ",
+                          [this](const auto& zone, bool cut) { environment_->cut_zone(zone, cut); });
         return;
-      case TroubleKind::burst:
-        add(trouble.at, "burst", [] {});
-        add(end, "burst over", [] {});
+      case FaultKind::burst:
+        add(fault.at, "burst", [] {});
+        add(end, "burst ended", [] {});
         return;
-      case TroubleKind::roll:
-        add(trouble.at, "roll " + trouble.becomes,
-            [&roll, becomes = trouble.becomes] { roll.spoil(becomes); });
-        add(end, "roll whole again", [&roll] { roll.spoil(""); });
+      case FaultKind::roll:
+        add(fault.at, "endpoint list file " + fault.becomes,
+            [&endpoint_list, becomes = fault.becomes] { endpoint_list.damage(becomes); });
+        add(end, "endpoint list file restored", [&endpoint_list] { endpoint_list.damage(""); });
         return;
       default:
         break;
     }
-    each(trouble.text + " ", "well again ",
-         [this, fault = fault_of(trouble.kind), factor = trouble.factor](const auto& name, bool suffers) {
-           stage_->replica(name).suffer(suffers ? fault : fakes::Fault::none, suffers ? factor : 1);
-         });
+    add_begin_and_end(fault.text + " ", "recovered ",
+                      [this, replica_fault = replica_fault_of(fault.kind), factor = fault.factor](
+                          const auto& name, bool active) {
+                        environment_->replica(name).set_fault(active ? replica_fault : fakes::Fault::none,
+                                                              active ? factor : 1);
+                      });
   }
 
-  static fakes::Fault fault_of(TroubleKind kind) {
+  static fakes::Fault replica_fault_of(FaultKind kind) {
     switch (kind) {
-      case TroubleKind::hang:
+      case FaultKind::hang:
         return fakes::Fault::hang;
-      case TroubleKind::refuse:
+      case FaultKind::refuse:
         return fakes::Fault::refuse;
-      case TroubleKind::fast_errors:
+      case FaultKind::fast_errors:
         return fakes::Fault::fast_errors;
-      case TroubleKind::pause:
+      case FaultKind::pause:
         return fakes::Fault::pause;
-      case TroubleKind::slow:
+      case FaultKind::slow:
         return fakes::Fault::slow;
-      case TroubleKind::silent:
+      case FaultKind::silent:
         return fakes::Fault::silent;
       default:
         return fakes::Fault::none;
     }
   }
 
-  static fakes::LinkFault carriage_of(const std::string& word) {
+  static fakes::LinkFault link_fault_of(const std::string& word) {
     using fakes::LinkFault;
     if (word == "late") return LinkFault::late;
     if (word == "twice") return LinkFault::twice;
@@ -362,13 +383,13 @@
     return word == "torn" ? LinkFault::torn : LinkFault::slow;
   }
 
-  void play_steps(const std::vector<Step>& steps) {
+  void run_steps(const std::vector<Step>& steps) {
     for (const auto& step : steps) {
       sleep_until(begin_ + step.at);
-      step.act();
+      step.action();
       const auto at = now() - begin_;
-      timeline_.emplace_back(at, step.what);
-      if (options_.on_event) options_.on_event(at, step.what);
+      timeline_.emplace_back(at, step.description);
+      if (options_.on_event) options_.on_event(at, step.description);
     }
   }
 
@@ -376,32 +397,33 @@
     auto limits = terms::limits_of(config_);
     limits.vouched.clear();
     for (const auto& proxy : config_.proxies.known) {
-      const auto behind = [&](const ResolverBetween& between) {
-        return std::find(between.proxies.begin(), between.proxies.end(), proxy.name) != between.proxies.end();
+      const auto behind = [&](const CachingResolver& resolver) {
+        return std::find(resolver.proxies.begin(), resolver.proxies.end(), proxy.name) !=
+               resolver.proxies.end();
       };
-      if (proxy.vouched && std::none_of(script_.resolvers.begin(), script_.resolvers.end(), behind))
+      if (proxy.vouched && std::none_of(scenario_.resolvers.begin(), scenario_.resolvers.end(), behind))
         limits.vouched.push_back(proxy.name);
     }
     return limits;
   }
 
-  const Scenario& script_;
+  const Scenario& scenario_;
   const RunOptions& options_;
   const config::Config config_;
   const std::filesystem::path folder_;
   const std::string config_path_;
   checker::Trace trace_;
-  std::optional<TestEnvironment> stage_;
-  std::optional<ChildProcess> governor_, second_;
+  std::optional<TestEnvironment> environment_;
+  std::optional<ChildProcess> governor_, second_governor_;
   Nanos begin_{};
-  double worst_waiting_ = 0;
+  double max_queued_entries_ = 0;
   std::vector<std::pair<Nanos, std::string>> timeline_;
 };
 
 }  // namespace
 
-ScenarioResult run_scenario(const Scenario& script, const RunOptions& options) {
-  return Run(script, options).play();
+ScenarioResult run_scenario(const Scenario& scenario, const RunOptions& options) {
+  return ScenarioRun(scenario, options).run();
 }
 
 }  // namespace ospreypost::scenario
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -1,4 +1,4 @@
-// A scripted day as its file gives it.
+// A scenario as its file ("day") states it: the fleet, its traffic and the faults with their times.
 #pragma once
 
 #include <optional>
@@ -14,22 +14,22 @@
   std::size_t count = 1;
   double cores = 2, speed = 1;
 };
-struct ResolverBetween {
+struct CachingResolver {
   std::vector<std::string> proxies;
-  double factor = 1;
+  double ttl_multiple = 1;
 };
-struct Terminals {
+struct ClientGroup {
   std::string zone, cls;
   std::size_t count = 1;
-  Nanos every{}, hold{};
+  Nanos interval{}, cache_time{};
 };
 struct ClassTraffic {
   std::string name;
-  double rate = 0;  // operations a second
+  double rate = 0;  // operations per second
   Nanos work{};
 };
 
-enum class TroubleKind {
+enum class FaultKind {
   crash,
   hang,
   refuse,
@@ -56,19 +56,25 @@
 };
 
 struct Fault {
-  TroubleKind kind{};
-  std::string text;  // as the file calls it
-  Nanos at{}, lasts{};
-  Nanos second{};                 // crash: until the roll notices; drain: until it leaves
-  double factor = 1;              // slower; or the share of operations that fail; or how many times as many
-  std::vector<std::string> whom;  // replicas or proxies; of a cut between zones, the zone
-  std::string becomes;            // of the roll, or of what is pushed
+  FaultKind kind{};
+  std::string text;  // name of the XML element
+  Nanos at{}, duration{};
+  // crash, vanish: time until the endpoint list shows the fault; drain: time until the replica leaves; burst:
+  // rise time; push_fault, report_late: delay of pushes or reports.
+  Nanos delay{};
+  // slow: multiple of the work time; fast_errors: fraction of failed operations; burst: multiple of the
+  // traffic.
+  double factor = 1;
+  std::vector<std::string> targets;  // names of replicas or proxies; zone_cut: name of the zone
+  std::string becomes;               // roll: damage to the endpoint list file; push_fault: kind of link fault
 };
 
-// Again and again a replica drains, and while that is pushed the governor or a proxy's receiver dies.
+// A series of crashes: in each `interval`, one replica begins to drain, and the control plane or the receiver
+// of a proxy is killed while the change is being pushed.
 struct CrashSchedule {
-  Nanos from{}, to{}, every{}, off{}, within{};
-  double governor = 0;  // share of the deaths that are the governor's
+  Nanos begin{}, end{}, interval{}, downtime{}, max_delay{};
+  // Fraction of the crashes that hit the control plane; the others hit the receiver of a proxy.
+  double governor_fraction = 0;
   std::vector<std::string> replicas, proxies;
 };
 
@@ -78,18 +84,20 @@
   std::uint32_t seed = 1;
   std::string governor_path;
   std::vector<ReplicaGroup> replicas;
-  std::vector<ResolverBetween> resolvers;
-  std::vector<Terminals> terminals;
+  std::vector<CachingResolver> resolvers;
+  std::vector<ClientGroup> client_groups;
   std::vector<ClassTraffic> traffic;
-  std::vector<Fault> troubles;
-  std::vector<CrashSchedule> deaths;
+  std::vector<Fault> faults;
+  std::vector<CrashSchedule> crash_schedules;
 };
 
-// Throws config::Faulty. Names are checked against the governor's configuration.
+// Reading a scenario throws config::ConfigError if its text is invalid. Names in the scenario are checked
+// separately, by `check_names`.
 Scenario parse_scenario(std::string_view text, const std::string& label, const std::string& folder);
 Scenario read_scenario(const std::string& path);
-// What the deaths come to, by the script's seed.
-std::vector<Fault> drawn(const Scenario& script);
-void check_names(const Scenario& script, const config::Config& config);
+// Draws the faults of the crash schedules with the seed of the scenario.
+std::vector<Fault> draw_crash_faults(const Scenario& scenario);
+// Throws config::ConfigError if the scenario names a zone, kind, class, replica or proxy that doesn't exist.
+void check_names(const Scenario& scenario, const config::Config& config);
 
 }  // namespace ospreypost::scenario
--- a/src/scenario/test_environment.h
+++ b/src/scenario/test_environment.h
@@ -1,4 +1,5 @@
-// The stand-ins of a day, on loopback addresses of their own, and the roll that lists them.
+// Test environment of a scenario: fake replicas, proxies, resolvers and clients on loopback addresses, and
+// the endpoint list file that the control plane reads.
 #pragma once
 
 #include <filesystem>
@@ -18,32 +19,34 @@
 
 namespace ospreypost::scenario {
 
-// A block of loopback addresses that no other day on this machine uses at the time.
+// A block of loopback addresses that no other running scenario on this machine uses.
 class Block {
  public:
-  Block();  // throws net::Error if all are taken
+  Block();  // throws net::Error if all blocks are in use
   net::Address address(int group, std::size_t number, std::uint16_t port) const;
 
  private:
-  int second_ = 0;
-  net::Socket claim_;
+  int second_octet_ = 0;
+  net::Socket claimed_socket_;
 };
 
-// The roll file as the day wants it read; whatever changes is written at once and whole, but for what a
-// trouble makes of it.
-class RollWriter {
+// Writes the endpoint list file. Each change replaces the whole file atomically, unless a fault of the
+// scenario damages the file.
+class EndpointListWriter {
  public:
-  RollWriter(std::filesystem::path path, checker::Trace& trace) : path_(std::move(path)), trace_(trace) {}
-  void put(const fakes::ReplicaShape& shape, const std::string& zone, const std::string& kind);
-  void list(const std::string& replica, checker::EndpointPhase phase, bool started_now);
-  // Empty: whole again.
-  void spoil(const std::string& becomes);
+  EndpointListWriter(std::filesystem::path path, checker::Trace& trace)
+      : path_(std::move(path)), trace_(trace) {}
+  void add(const fakes::ReplicaConfig& replica, const std::string& zone, const std::string& kind);
+  void set_phase(const std::string& replica, checker::EndpointPhase phase, bool started_now);
+  // Damages the file in the way that `kind` names (the values of `becomes` in a scenario file). An empty
+  // `kind` restores the file.
+  void damage(const std::string& kind);
 
  private:
   struct Entry {
     std::string zone, kind, address;
     checker::EndpointPhase phase = checker::EndpointPhase::ready;
-    double started = 0;  // seconds since 1970; 0: long ago
+    double started_at = 0;  // start time in seconds since 1970; 0: the file states no start time
   };
   void write();
 
@@ -51,62 +54,66 @@
   checker::Trace& trace_;
   std::mutex lock_;
   std::map<std::string, Entry> entries_;
-  std::string spoiled_;
+  std::string damage_;
 };
 
 class TestEnvironment {
  public:
-  TestEnvironment(const Scenario& script, const config::Config& config, const std::filesystem::path& folder,
+  TestEnvironment(const Scenario& scenario, const config::Config& config, const std::filesystem::path& folder,
                   checker::Trace& trace, const fakes::InjectedDefects& defects);
   ~TestEnvironment() { stop(); }
-  // The governor's configuration for this stage, from the text of the original.
-  // `number`: 1, or 2 for one that runs beside it.
+  // Returns `text`, a configuration of the control plane, with the addresses and paths of this environment.
+  // `number`: 1, or 2 for a second control plane that runs at the same time.
   std::string configuration(const std::string& text, const std::string& label, std::size_t number) const;
   void start();
-  // Without a governor: every proxy goes by all replicas with equal weights, all day.
+  // Starts without a control plane: all proxies use all replicas with equal weights for the whole run.
   void start_with_equal_weights();
   void stop();
-  // One proxy, or one replica, by name.
   fakes::Proxy& proxy(const std::string& name) { return *proxies_.at(name); }
   fakes::Replica& replica(const std::string& name) { return *replicas_.at(name); }
-  RollWriter& roll() { return roll_; }
+  EndpointListWriter& endpoint_list() { return endpoint_list_; }
   net::Address dns() const { return block_.address(0, 1, 5300); }
   net::Address reports() const { return block_.address(0, 1, 4318); }
   void cut(const std::string& proxy, bool cut);
-  // In processes of their own, for the proxies that have one.
+  // Starts the receiver processes of the proxies that have a receiver.
   void start_receivers(const std::string& program);
   void start_receiver(const std::string& program, const std::string& proxy);
   void kill_receiver(const std::string& proxy);
-  // Of proxies with a receiver; nobody can bring them anything while what is pushed does not arrive.
-  void push_fault(const std::string& proxy, fakes::LinkFault carriage, Nanos by);
-  void be_still(const std::string& proxy, bool still);
-  // Between the zone and the others: proxies to replicas, and proxies to the governor.
+  // Sets the fault of the link to the receiver of a proxy. While pushes don't arrive, the proxy counts as cut
+  // off.
+  void push_fault(const std::string& proxy, fakes::LinkFault fault, Nanos delay);
+  void pause_proxy(const std::string& proxy, bool paused);
+  // Cuts or restores the connections from proxies to replicas and to the control plane that cross the border
+  // of the zone.
   void cut_zone(const std::string& zone, bool cut);
-  void be_deaf(const std::string& proxy, bool deaf);
-  // False if no receiver writes that proxy's folder.
+  void ignore_files(const std::string& proxy, bool ignored);
+  // Makes the writes of the proxy's receiver fail or succeed again. Returns false if the proxy has no
+  // receiver: then the control plane itself writes the folder of the proxy.
   bool fill_disk(const std::string& proxy, bool full);
 
  private:
-  // For what keeps the governor from reaching a proxy.
+  // Adds to the trace that the control plane can't reach the proxy (`cut`), or can again.
   void note_cut(const std::string& proxy, bool cut);
-  fakes::ControlPlaneAddresses reach_of(const std::string& proxy) const;
+  fakes::ControlPlaneAddresses addresses_of(const std::string& proxy) const;
 
   const config::Config& config_;
   checker::Trace& trace_;
   Block block_;
-  RollWriter roll_;
-  std::filesystem::path roll_path_, log_path_;
-  std::map<std::string, net::Address> entries_;
-  std::map<std::string, std::string> zones_;          // of the replicas
-  std::map<std::string, std::string> folders_;        // of proxies that are pushed to
-  std::map<std::string, net::Address> receivers_at_;  // of those with a receiver
+  EndpointListWriter endpoint_list_;
+  std::filesystem::path endpoint_list_path_, log_path_;
+  std::map<std::string, net::Address> entry_addresses_;
+  std::map<std::string, std::string> replica_zones_;  // by replica
+  std::map<std::string, std::string> table_folders_;  // by proxy, for those that read tables from a folder
+  std::map<std::string, net::Address> receiver_addresses_;  // by proxy, for those with a receiver
   std::map<std::string, std::unique_ptr<ChildProcess>> receivers_;
-  std::map<std::string, std::unique_ptr<fakes::FaultyLink>> couriers_;  // before them
+  // By proxy: the link that forwards pushes to the receiver of the proxy.
+  std::map<std::string, std::unique_ptr<fakes::FaultyLink>> faulty_links_;
   std::map<std::string, std::unique_ptr<fakes::Replica>> replicas_;
   std::map<std::string, std::unique_ptr<fakes::Proxy>> proxies_;
   std::vector<std::unique_ptr<fakes::Resolver>> resolvers_;
-  std::map<std::string, net::Address> dns_of_;  // of those behind a resolver
-  std::vector<std::unique_ptr<fakes::CachingClient>> terminals_;
+  // By proxy, for proxies that query a caching resolver: the address of the resolver.
+  std::map<std::string, net::Address> resolver_addresses_;
+  std::vector<std::unique_ptr<fakes::CachingClient>> caching_clients_;
 };
 
 }  // namespace ospreypost::scenario
