--- a/src/checker/invariant_checker.cpp
+++ b/src/checker/invariant_checker.cpp
@@ -32,7 +32,7 @@
 };
 
 // Returns the spans in which `predicate` held: each begins at a record for which it is true and ends at the
-// next one for which it is false. The records are in order of time.
+// next record for which `predicate` is false. The records are in order of time.
 template <typename Record, typename Predicate>
 std::vector<Interval> intervals(const std::vector<Record>& records, Predicate predicate) {
   std::vector<Interval> found;
@@ -57,8 +57,8 @@
       cut_off[proxy] = intervals(changes, [](const Cut& c) { return c.cut; });
     answers = in_order(trace.answered);
   }
-  // Returns the start time of the control plane that runs at `at`, which has read the endpoint list since
-  // then; empty if none runs.
+  // Returns when the control plane that runs at `at` started; empty if none runs. A control plane reads the
+  // endpoint list from its start on.
   std::optional<Time> governed_since(Time at) const {
     for (const auto& up : governed) {
       if (up.from <= at && at < up.to) return up.from;
--- a/src/fakes/proxy.cpp
+++ b/src/fakes/proxy.cpp
@@ -15,10 +15,10 @@
 using namespace std::chrono_literals;
 using std::chrono::nanoseconds;
 
-constexpr auto kRetryInterval = 250ms;  // until a DNS query without an answer is repeated
+constexpr auto kRetryInterval = 250ms;  // time until a DNS query without an answer is repeated
 constexpr auto kFileReadInterval = 30ms;
 constexpr auto kConnectTimeout = 250ms;
-constexpr std::size_t kMaxIdleConnections = 16;  // per target
+constexpr std::size_t kMaxIdleConnections = 16;  // maximum number of idle connections to one target
 constexpr int kMaxClientRepeats = 2;
 // Time that a client waits before its first repeat. The time doubles with each repeat.
 constexpr auto kClientBackoff = 100ms;
--- a/src/fakes/proxy.h
+++ b/src/fakes/proxy.h
@@ -31,7 +31,7 @@
 struct ControlPlaneAddresses {
   net::Address dns, reports;
   std::string folder;  // folder of the routing tables; empty: the tables are resolved over DNS
-  bool cut = false;    // the proxy reaches neither address
+  bool cut = false;    // true: the proxy reaches neither DNS nor the receiver of load reports
 };
 
 // Defects of a proxy that the tests of the invariant checker inject. All are off in other scenarios.
@@ -124,7 +124,7 @@
   std::multimap<std::chrono::nanoseconds, std::string> pending_reports_;
   ControlPlaneAddresses addresses_;
   std::mt19937 generator_;
-  std::vector<Table> tables_;  // by class
+  std::vector<Table> tables_;  // current table of each class
   // By target: time at which the target appeared in the tables.
   std::map<std::string, std::chrono::nanoseconds> listed_since_;
   std::map<std::string, ReplicaCounts> replica_counts_;
--- a/src/fakes/resolver.h
+++ b/src/fakes/resolver.h
@@ -34,7 +34,7 @@
   const double ttl_multiple_;
   net::Socket socket_;
   std::atomic<std::shared_ptr<net::Address>> upstream_;
-  std::map<std::string, CachedAnswer> cache_;  // by the query without its id
+  std::map<std::string, CachedAnswer> cache_;  // cached answers, by the query without its id
   std::atomic<bool> stopping_ = false;
   net::Thread thread_;
 };
--- a/src/fakes/stub_resolver.h
+++ b/src/fakes/stub_resolver.h
@@ -17,7 +17,7 @@
 
 struct Resolved {
   enum class Kind { answer, no_endpoints, failed } kind = Kind::failed;
-  std::uint32_t lifetime = 1;  // seconds
+  std::uint32_t lifetime = 1;  // TTL in seconds
   std::vector<Target> targets;
   bool replicas = false;  // the targets are replicas: their names are below "replicas"
   std::uint64_t version = 0;
--- a/src/fakes/tables.h
+++ b/src/fakes/tables.h
@@ -9,8 +9,8 @@
 namespace ospreypost::fakes {
 
 // Both return Kind::failed if the text isn't a table of that format.
-Resolved read_envoy(const std::string& text);     // JSON, file-based endpoint discovery
-Resolved read_upstream(const std::string& text);  // `upstream NAME { server ADDRESS weight=N; ... }`
+Resolved read_envoy(const std::string& text);     // JSON of Envoy's file-based endpoint discovery
+Resolved read_upstream(const std::string& text);  // nginx: `upstream NAME { server ADDRESS weight=N; ... }`
 
 // Reads FOLDER/CLASS.json or, if that file is missing, FOLDER/CLASS.conf.
 Resolved read_table(const std::string& folder, const std::string& cls);
--- a/src/scenario/run.cpp
+++ b/src/scenario/run.cpp
@@ -151,7 +151,7 @@
       longest_deadline = std::max(longest_deadline, cls.request_deadline);
     sleep_until(begin_ + scenario_.length + longest_deadline);
     const auto end = now();
-    if (governor_) governor_->pause(false);  // a paused process can't answer or exit
+    if (governor_) governor_->pause(false);  // resumed, since a paused process can't answer or exit
     read_max_queued_entries();
     ScenarioResult result;
     result.stop_duration = governor_ ? governor_->stop() : Nanos{};
--- a/src/scenario/run.h
+++ b/src/scenario/run.h
@@ -21,7 +21,7 @@
 
 struct RunOptions {
   std::string program;  // path of the executable of the control plane
-  std::string folder;   // for the files of the run; empty: a temporary folder, removed after the run
+  std::string folder;   // folder for the files of the run; empty: a temporary folder, removed after the run
   // Runs without a control plane: all proxies use all replicas with equal weights, and the rules have no
   // meaning.
   bool equal_weights = false;
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -25,7 +25,7 @@
 };
 struct ClassTraffic {
   std::string name;
-  double rate = 0;  // operations per second
+  double rate = 0;  // arrival rate in operations per second
   Nanos work{};
 };
 
@@ -57,7 +57,7 @@
 
 struct Fault {
   FaultKind kind{};
-  std::string text;  // name of the XML element
+  std::string text;  // name of the XML element that defines the fault
   Nanos at{}, duration{};
   // crash, vanish: time until the endpoint list shows the fault; drain: time until the replica leaves; burst:
   // rise time; push_fault, report_late: delay of pushes or reports.
--- a/src/scenario/test_environment.cpp
+++ b/src/scenario/test_environment.cpp
@@ -43,7 +43,7 @@
       claimed_socket_ = net::listen_tcp(address(0, 1, 4317), 1);
       return;
     } catch (const net::Error&) {
-      // Another scenario uses this block.
+      // Another scenario uses this block of addresses, so the next block is tried.
     }
   }
   throw net::Error("no block of loopback addresses is free");
--- a/src/scenario/test_environment.h
+++ b/src/scenario/test_environment.h
@@ -102,9 +102,11 @@
   EndpointListWriter endpoint_list_;
   std::filesystem::path endpoint_list_path_, log_path_;
   std::map<std::string, net::Address> entry_addresses_;
-  std::map<std::string, std::string> replica_zones_;  // by replica
-  std::map<std::string, std::string> table_folders_;  // by proxy, for those that read tables from a folder
-  std::map<std::string, net::Address> receiver_addresses_;  // by proxy, for those with a receiver
+  std::map<std::string, std::string> replica_zones_;  // zone of each replica, by its name
+  // By proxy, for proxies that read their tables from files: the folder of the tables.
+  std::map<std::string, std::string> table_folders_;
+  // By proxy, for proxies with a receiver: the address of the receiver.
+  std::map<std::string, net::Address> receiver_addresses_;
   std::map<std::string, std::unique_ptr<ChildProcess>> receivers_;
   // By proxy: the link that forwards pushes to the receiver of the proxy.
   std::map<std::string, std::unique_ptr<fakes::FaultyLink>> faulty_links_;
--- a/tests/program/invariant_checker_test.cpp
+++ b/tests/program/invariant_checker_test.cpp
@@ -186,7 +186,7 @@
   fakes::InjectedDefects defects;
   defects.prefers_new_targets = true;
   // When attempts fail in a zone, the control plane holds back its cold replicas. The high fall-multiple
-  // disables that.
+  // disables this protection.
   const auto change_configuration = [](std::string text) {
     return replaced(std::move(text), "fall-multiple=\"2.5\"", "fall-multiple=\"1000\"");
   };
