--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -13,7 +13,7 @@
 #include "record/summary.h"
 #include "replay/history.h"
 #include "replay/replay.h"
-#include "simulation/simulated_day.h"
+#include "simulation/simulated_run.h"
 #include "terms/deployment.h"
 
 namespace {
@@ -93,9 +93,9 @@
   const auto deployment = terms::deployment_of(config::parse_config(history.configuration, "recorded"));
   simulation::Fleet fleet;
   const double fitting =
-      seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assume::middle); });
-  simulation::PlayedDay day;
-  const double playing = seconds_of([&] { day = simulation::play(history, deployment, fleet, 1); });
+      seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assumption::middle); });
+  simulation::SimulatedRun day;
+  const double playing = seconds_of([&] { day = simulation::simulate(history, deployment, fleet, 1); });
   std::printf("the model: fitted in %.2f s; a day played %.0f times as fast as lived\n", fitting,
               lived / playing);
   return 0;
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -12,7 +12,7 @@
 #include "program/support.h"
 #include "record.pb.h"
 #include "replay/export_scenario.h"
-#include "simulation/simulated_day.h"
+#include "simulation/simulated_run.h"
 #include "terms/deployment.h"
 
 namespace {
@@ -43,21 +43,21 @@
 bool is_small(const simulation::History& history) {
   std::uint64_t requests = 0;
   for (const auto& report : history.reports) {
-    for (const auto& asked : report.asked) requests += asked.operations;
+    for (const auto& asked : report.demand_lines) requests += asked.operations;
   }
   return requests <= kMaxPlayedRequests && history.length <= kMaxPlayedLength;
 }
 
 void fit_export_and_play(const simulation::History& history, const config::Config& config) {
   static const auto deployment = terms::deployment_of(config);
-  const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
+  const auto fleet = simulation::fit(history, deployment, simulation::Assumption::middle);
   for (const auto& replica : fleet.replicas) {
     // So written that NaN fails too.
     const bool is_sound = replica.cores >= 1 && replica.slowness > 0;
     if (!is_sound) std::abort();
   }
   replay::export_scenario(history, deployment, fleet, config.kinds, "made", "g.xml");
-  if (is_small(history)) simulation::play(history, deployment, fleet, 1);
+  if (is_small(history)) simulation::simulate(history, deployment, fleet, 1);
 }
 
 }  // namespace
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -129,7 +129,7 @@
   const auto config = config::parse_config(history.configuration, "the recorded configuration");
   const auto deployment = terms::deployment_of(config);
   try {
-    const auto fleet = simulation::fit(history, deployment, simulation::Assume::middle);
+    const auto fleet = simulation::fit(history, deployment, simulation::Assumption::middle);
     const auto made =
         replay::export_scenario(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
     const auto day = (fs::path(options.out) / "day.xml").string();
--- a/src/cli/what_if.cpp
+++ b/src/cli/what_if.cpp
@@ -11,7 +11,7 @@
 #include "record/reader.h"
 #include "replay/history.h"
 #include "report/page.h"
-#include "simulation/answer.h"
+#include "simulation/evaluation.h"
 #include "terms/deployment.h"
 
 namespace ospreypost::cli {
@@ -27,7 +27,7 @@
 }
 
 void print(const simulation::History& history, const simulation::ModelError& error,
-           const std::vector<simulation::Answer>& answers) {
+           const std::vector<simulation::Evaluation>& evaluations) {
   std::printf("recorded: %.1f s, %zu lives of a governor, %zu reports, %zu replicas\n",
               seconds(history.length), history.lives.size(), history.reports.size(), history.replicas.size());
   if (history.lost + history.damaged > 0) {
@@ -47,28 +47,29 @@
   std::printf("modelled, not measured:\n");
   std::printf("  %-24s %-31s %-23s %-9s %s\n", "setting", "service (bounds; spread)", "worst 10 s (bounds)",
               "messages", "rules kept, of days");
-  for (const auto& answer : answers) {
+  for (const auto& evaluation : evaluations) {
     std::string rules;
-    for (const auto& rule : answer.rules) {
+    for (const auto& rule : evaluation.rules) {
       if (rule.kept < rule.days)
         rules += (rules.empty() ? "" : ", ") + rule.name + " " + std::to_string(rule.kept) + "/" +
                  std::to_string(rule.days);
     }
-    std::printf("  %-24s %.3f (%.3f to %.3f; %.3f)  %.3f (%.3f to %.3f)  %8.0f  %s\n", answer.label.c_str(),
-                answer.service.figure, answer.service.least, answer.service.most, answer.service.spread,
-                answer.worst_window.figure, answer.worst_window.least, answer.worst_window.most,
-                answer.messages, rules.empty() ? "all" : rules.c_str());
+    std::printf("  %-24s %.3f (%.3f to %.3f; %.3f)  %.3f (%.3f to %.3f)  %8.0f  %s\n",
+                evaluation.label.c_str(), evaluation.service.figure, evaluation.service.least,
+                evaluation.service.most, evaluation.service.spread, evaluation.worst_window.figure,
+                evaluation.worst_window.least, evaluation.worst_window.most, evaluation.messages,
+                rules.empty() ? "all" : rules.c_str());
   }
 }
 
-nlohmann::json json_of(const simulation::Bounded& bounded) {
+nlohmann::json json_of(const simulation::BoundedFigure& bounded) {
   return {{"figure", bounded.figure},
           {"least", bounded.least},
           {"most", bounded.most},
           {"spread", bounded.spread}};
 }
 
-nlohmann::json json_of(const std::vector<simulation::Counted>& counts) {
+nlohmann::json json_of(const std::vector<simulation::ReportedService>& counts) {
   auto rows = nlohmann::json::array();
   for (const auto& second : counts) rows.push_back({second.worth, second.unanswered});
   return rows;
@@ -86,8 +87,8 @@
     const auto& replica = fleet.replicas[n];
     auto spells = nlohmann::json::array();
     for (const auto& spell : replica.spells)
-      spells.push_back(
-          {seconds(spell.from), seconds(spell.to), spell.fails, spell.slower, spell.never_ran, spell.hangs});
+      spells.push_back({seconds(spell.from), seconds(spell.to), spell.failure_ratio, spell.slowdown,
+                        spell.not_run_ratio, spell.hang_ratio});
     json["replicas"][history.replicas[n]] = {
         {"slowness", replica.slowness}, {"cores", replica.cores}, {"seen", replica.seen}, {"spells", spells}};
   }
@@ -97,41 +98,43 @@
 // Recorded and modelled apart.
 nlohmann::json json_of(const simulation::History& history, const simulation::Deployment& recorded,
                        const simulation::ModelError& error, const simulation::Fleet& fleet,
-                       const std::vector<simulation::Answer>& answers) {
+                       const std::vector<simulation::Evaluation>& evaluations) {
   nlohmann::json json;
-  json["recorded"] = {{"seconds", seconds(history.length)},
-                      {"lives", history.lives.size()},
-                      {"reports", history.reports.size()},
-                      {"replicas", history.replicas},
-                      {"lost", history.lost},
-                      {"damaged", history.damaged},
-                      {"guessed", history.guessed},
-                      {"answered", error.recorded},
-                      {"worth-and-unanswered-by-second", json_of(simulation::counted(history, recorded))}};
+  json["recorded"] = {
+      {"seconds", seconds(history.length)},
+      {"lives", history.lives.size()},
+      {"reports", history.reports.size()},
+      {"replicas", history.replicas},
+      {"lost", history.lost},
+      {"damaged", history.damaged},
+      {"guessed", history.guessed},
+      {"answered", error.recorded},
+      {"worth-and-unanswered-by-second", json_of(simulation::reported_service(history, recorded))}};
   auto& modelled = json["modelled"];
   modelled["error"] = {{"stretch", seconds(error.stretch)}, {"stretches", error.stretches},
                        {"answered", error.modelled},        {"mean", error.mean},
                        {"rms", error.root_mean_square},     {"worst", error.worst}};
   modelled["fleet"] = json_of(history, recorded, fleet);
-  for (const auto& answer : answers) {
+  for (const auto& evaluation : evaluations) {
     auto rules = nlohmann::json::array();
-    for (const auto& rule : answer.rules)
+    for (const auto& rule : evaluation.rules)
       rules.push_back({{"rule", rule.name}, {"kept", rule.kept}, {"days", rule.days}, {"worst", rule.worst}});
     auto withdrawals = nlohmann::json::array();
-    for (const auto& of : answer.day.withdrawals) {
+    for (const auto& of : evaluation.run.withdrawals) {
       withdrawals.push_back({{"at", seconds(of.at)},
                              {"replica", history.replicas.at(static_cast<std::size_t>(of.replica))},
                              {"out", of.out}});
     }
     auto shares = nlohmann::json::array();
-    for (const auto& of : answer.day.shares) shares.push_back({{"at", seconds(of.at)}, {"share", of.of}});
-    modelled["settings"].push_back({{"setting", answer.label},
-                                    {"service", json_of(answer.service)},
-                                    {"worst-10-s", json_of(answer.worst_window)},
-                                    {"messages", answer.messages},
+    for (const auto& of : evaluation.run.shares)
+      shares.push_back({{"at", seconds(of.at)}, {"share", of.by_replica}});
+    modelled["settings"].push_back({{"setting", evaluation.label},
+                                    {"service", json_of(evaluation.service)},
+                                    {"worst-10-s", json_of(evaluation.worst_window)},
+                                    {"messages", evaluation.messages},
                                     {"rules", rules},
-                                    {"service-by-second", answer.day.service},
-                                    {"worth-and-unanswered-by-second", json_of(answer.day.counted)},
+                                    {"service-by-second", evaluation.run.service},
+                                    {"worth-and-unanswered-by-second", json_of(evaluation.run.reported)},
                                     {"withdrawals", withdrawals},
                                     {"shares", shares}});
   }
@@ -144,26 +147,28 @@
   const auto history = replay::read_history(record::list_files(options.records));
   const auto recorded =
       terms::deployment_of(config::parse_config(history.configuration, "the recorded configuration"));
-  simulation::Asking asking;
-  asking.draws = options.draws;
+  simulation::EvaluationOptions evaluation_options;
+  evaluation_options.draws = options.draws;
   std::string label = "the model's error";
-  asking.progress = [&](std::size_t done, std::size_t all) { show_progress(label, done, all); };
+  evaluation_options.progress = [&](std::size_t done, std::size_t all) { show_progress(label, done, all); };
   try {
-    const auto error = simulation::error_of(history, recorded, asking);
-    std::vector<simulation::Answer> answers;
+    const auto error = simulation::measure_model_error(history, recorded, evaluation_options);
+    std::vector<simulation::Evaluation> evaluations;
     label = "as recorded";
-    const auto fitted = simulation::fit_all(history, recorded);
-    answers.push_back(simulation::answer(history, fitted, recorded, recorded, label, asking));
+    const auto fitted = simulation::fit_all_assumptions(history, recorded);
+    evaluations.push_back(
+        simulation::evaluate(history, fitted, recorded, recorded, label, evaluation_options));
     for (const auto& path : options.settings) {
       label = std::filesystem::path(path).stem().string();
-      answers.push_back(simulation::answer(history, fitted, recorded,
-                                           terms::deployment_of(config::read_config(path)), label, asking));
+      evaluations.push_back(simulation::evaluate(history, fitted, recorded,
+                                                 terms::deployment_of(config::read_config(path)), label,
+                                                 evaluation_options));
     }
-    if (!options.report.empty()) report::write_page(options.report, {history, error, answers});
+    if (!options.report.empty()) report::write_page(options.report, {history, error, evaluations});
     if (options.json) {
-      std::printf("%s\n", json_of(history, recorded, error, fitted.middle, answers).dump().c_str());
+      std::printf("%s\n", json_of(history, recorded, error, fitted.middle, evaluations).dump().c_str());
     } else {
-      print(history, error, answers);
+      print(history, error, evaluations);
     }
   } catch (const std::invalid_argument& error) {
     throw config::ConfigError(label + ": " + error.what());
--- a/src/program.cmake
+++ b/src/program.cmake
@@ -66,7 +66,7 @@
   NEEDS ospreypost_control_plane ospreypost_resp ospreypost_discovery ospreypost_simulator)
 ospreypost_package(checker invariant_checker.cpp NEEDS Threads::Threads)
 # Boost's distributions are headers: the same draws on any machine.
-ospreypost_package(simulation check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_day.cpp answer.cpp
+ospreypost_package(simulation history_check.cpp evidence.cpp fit.cpp modelled_replica.cpp simulated_run.cpp evaluation.cpp
   NEEDS ospreypost_routing_state ospreypost_client_ttl_policy ospreypost_checker)
 ospreypost_package(replay event_decoder.cpp replay.cpp plausibility.cpp report_assembler.cpp log_translation.cpp history.cpp pseudonyms.cpp
   anonymise.cpp scenario_xml.cpp replica_names.cpp replica_faults.cpp service_faults.cpp export_scenario.cpp
--- a/src/replay/export_scenario.cpp
+++ b/src/replay/export_scenario.cpp
@@ -10,7 +10,7 @@
 #include "replay/scenario_source.h"
 #include "replay/scenario_xml.h"
 #include "replay/service_faults.h"
-#include "simulation/check.h"
+#include "simulation/history_check.h"
 
 namespace ospreypost::replay {
 namespace {
@@ -20,8 +20,8 @@
 constexpr double kMinDecimal = 0.001;
 
 bool has_requests(const simulation::Report& report) {
-  return std::any_of(report.asked.begin(), report.asked.end(),
-                     [](const simulation::Asked& asked) { return asked.operations > 0; });
+  return std::any_of(report.demand_lines.begin(), report.demand_lines.end(),
+                     [](const simulation::DemandLine& asked) { return asked.operations > 0; });
 }
 
 // A scenario's clock starts when its proxies have their tables; a record's, when the control plane does.
@@ -68,7 +68,7 @@
 std::vector<double> first_requests(const ScenarioSource& source) {
   std::vector<double> requests(source.deployment.classes.size());
   for (const auto& report : source.history.reports) {
-    for (const auto& asked : report.asked) {
+    for (const auto& asked : report.demand_lines) {
       const auto cls = static_cast<std::size_t>(asked.cls);
       requests[cls] += std::max(0.0, asked.operations - source.fleet.repeats[cls] * asked.unanswered);
     }
@@ -114,7 +114,7 @@
 ExportedScenario export_scenario(const simulation::History& history, const simulation::Deployment& deployment,
                                  const simulation::Fleet& fleet, const std::vector<std::string>& kinds,
                                  const std::string& name, const std::string& configuration_file) {
-  simulation::check(history, deployment);
+  simulation::check_history(history, deployment);
   const ScenarioSource source{history, deployment, fleet, kinds, scenario_begin(history)};
   const Nanos length = history.length - source.begin;
   check_length(history, length);
--- a/src/replay/history.cpp
+++ b/src/replay/history.cpp
@@ -97,7 +97,7 @@
 
 void HistoryReader::add_endpoint_list(Nanos now, const Entry& entry) {
   const auto& encoded = entry.list_received();
-  simulation::ListNews list{now, static_cast<EndpointListKind>(encoded.kind()), false, {}};
+  simulation::ListEvent list{now, static_cast<EndpointListKind>(encoded.kind()), false, {}};
   for (const auto& line : encoded.entries()) {
     EndpointUpdate update = decode_endpoint_update(line);
     update.replica = replica_id(line.replica());
@@ -130,7 +130,7 @@
 
 void HistoryReader::add_replica_load_report(Nanos now, const Entry& entry) {
   const auto& encoded = entry.replica_summed();
-  simulation::Met met;
+  simulation::ReplicaLine met;
   met.replica = replica_id(encoded.replica());
   met.attempts = encoded.tries();
   met.failed = encoded.failed();
@@ -148,7 +148,7 @@
 void HistoryReader::add_demand_report(Nanos now, const Entry& entry) {
   const auto& encoded = entry.demand_summed();
   const auto proxy = decode_id<ProxyId>(encoded.proxy());
-  simulation::Asked asked;
+  simulation::DemandLine asked;
   asked.cls = decode_id<ClassId>(encoded.cls());
   asked.operations = encoded.operations();
   asked.unanswered = encoded.unanswered();
--- a/src/replay/replica_faults.cpp
+++ b/src/replay/replica_faults.cpp
@@ -96,7 +96,7 @@
     const auto& spells = source_.fleet.replicas[static_cast<std::size_t>(replica)].spells;
     std::for_each(spells.rbegin(), spells.rend(), [&](const simulation::Spell& spell) {
       const bool leads_to_crash = spell.from < crashed_at && spell.to >= crashed_at;
-      if (leads_to_crash && spell.fails >= kMinFaultFailureRatio)
+      if (leads_to_crash && spell.failure_ratio >= kMinFaultFailureRatio)
         crashed_at = std::max(spell.from, listed_at - kMaxCrashNotice);
     });
     return crashed_at;
@@ -111,13 +111,13 @@
 
 // The scenario's word for what a spell is; absent if it is no fault.
 std::optional<std::string_view> fault_kind(const simulation::Spell& spell) {
-  if (spell.fails >= kMinFaultFailureRatio) {
-    const bool nearly_all_fail = spell.fails > 0.9;
-    if (spell.never_ran > 0.5 && nearly_all_fail) return "refuse";
-    if (spell.hangs > 0.5 && nearly_all_fail) return "hang";
+  if (spell.failure_ratio >= kMinFaultFailureRatio) {
+    const bool nearly_all_fail = spell.failure_ratio > 0.9;
+    if (spell.not_run_ratio > 0.5 && nearly_all_fail) return "refuse";
+    if (spell.hang_ratio > 0.5 && nearly_all_fail) return "hang";
     return "fast-errors";
   }
-  if (spell.slower > 1) return "slow";
+  if (spell.slowdown > 1) return "slow";
   return std::nullopt;
 }
 
@@ -143,8 +143,8 @@
         std::max(kMinSpellSeconds, std::chrono::duration<double>(spell.to - spell.from).count());
     last.to = spell.to;
     last.seconds += seconds;
-    last.failed_seconds += seconds * spell.fails;
-    last.slowness_seconds += seconds * spell.slower;
+    last.failed_seconds += seconds * spell.failure_ratio;
+    last.slowness_seconds += seconds * spell.slowdown;
   }
   return merged;
 }
--- a/src/replay/report_assembler.cpp
+++ b/src/replay/report_assembler.cpp
@@ -10,35 +10,35 @@
 constexpr Nanos kMaxReportSpread = std::chrono::milliseconds(50);
 
 bool has_replica(const simulation::Report& report, ReplicaId replica) {
-  return std::any_of(report.met.begin(), report.met.end(),
-                     [&](const simulation::Met& met) { return met.replica == replica; });
+  return std::any_of(report.replica_lines.begin(), report.replica_lines.end(),
+                     [&](const simulation::ReplicaLine& met) { return met.replica == replica; });
 }
 
 bool has_class(const simulation::Report& report, ClassId cls) {
-  return std::any_of(report.asked.begin(), report.asked.end(),
-                     [&](const simulation::Asked& asked) { return asked.cls == cls; });
+  return std::any_of(report.demand_lines.begin(), report.demand_lines.end(),
+                     [&](const simulation::DemandLine& asked) { return asked.cls == cls; });
 }
 
 }  // namespace
 
-void ReportAssembler::add_replica_line(const LineOrigin& origin, simulation::Met met) {
+void ReportAssembler::add_replica_line(const LineOrigin& origin, simulation::ReplicaLine met) {
   simulation::Report* report = &current_report(origin);
   // A report's replicas come before its demand, each once.
-  if (has_replica(*report, met.replica) || !report->asked.empty()) report = &begin_report(origin);
-  report->met.push_back(std::move(met));
+  if (has_replica(*report, met.replica) || !report->demand_lines.empty()) report = &begin_report(origin);
+  report->replica_lines.push_back(std::move(met));
 }
 
-void ReportAssembler::add_unattributed_line(Nanos arrived, Nanos span, simulation::Met met) {
+void ReportAssembler::add_unattributed_line(Nanos arrived, Nanos span, simulation::ReplicaLine met) {
   unattributed_lines_.push_back({arrived, span, std::move(met)});
 }
 
-void ReportAssembler::add_demand_line(const LineOrigin& origin, const simulation::Asked& asked) {
+void ReportAssembler::add_demand_line(const LineOrigin& origin, const simulation::DemandLine& asked) {
   simulation::Report* report = &current_report(origin);
   if (has_class(*report, asked.cls)) report = &begin_report(origin);
-  report->asked.push_back(asked);
+  report->demand_lines.push_back(asked);
   for (auto& line : unattributed_lines_) {
     if (line.span != origin.span || origin.arrived - line.arrived > kMaxReportSpread) continue;
-    report->met.push_back(std::move(line.met));
+    report->replica_lines.push_back(std::move(line.met));
     ++attributed_lines_;
   }
   unattributed_lines_.clear();
--- a/src/replay/report_assembler.h
+++ b/src/replay/report_assembler.h
@@ -22,11 +22,11 @@
 class ReportAssembler {
  public:
   /// What the proxy met at one replica.
-  void add_replica_line(const LineOrigin& origin, simulation::Met met);
+  void add_replica_line(const LineOrigin& origin, simulation::ReplicaLine met);
   /// The same, of a record before schema 2: it does not tell the proxy.
-  void add_unattributed_line(Nanos arrived, Nanos span, simulation::Met met);
+  void add_unattributed_line(Nanos arrived, Nanos span, simulation::ReplicaLine met);
   /// The proxy's demand of one class. Unattributed lines just before it are taken for the same proxy's.
-  void add_demand_line(const LineOrigin& origin, const simulation::Asked& asked);
+  void add_demand_line(const LineOrigin& origin, const simulation::DemandLine& asked);
   /// Lines from now on are of another incarnation, and go on with no report of the one before.
   void begin_incarnation() { last_reports_.clear(); }
 
@@ -39,7 +39,7 @@
   struct UnattributedLine {
     Nanos arrived{};
     Nanos span{};
-    simulation::Met met;
+    simulation::ReplicaLine met;
   };
 
   simulation::Report& current_report(const LineOrigin& origin);
--- a/src/replay/service_faults.cpp
+++ b/src/replay/service_faults.cpp
@@ -78,7 +78,7 @@
     const Nanos last_moment = std::max(report.to - source.begin - 1ns, 0ns);
     const auto span = static_cast<std::size_t>(last_moment / kBurstSpan);
     if (span >= requests.size()) continue;
-    for (const auto& asked : report.asked) {
+    for (const auto& asked : report.demand_lines) {
       const double repeats = source.fleet.repeats[static_cast<std::size_t>(asked.cls)] * asked.unanswered;
       requests[span] += std::max(0.0, asked.operations - repeats);
     }
--- a/src/report/page.cpp
+++ b/src/report/page.cpp
@@ -48,14 +48,14 @@
   return text;
 }
 
-std::string bounded(const simulation::Bounded& of) {
+std::string bounded(const simulation::BoundedFigure& of) {
   return "<td>" + figure(of.figure) + "</td><td>" + figure(of.least) + " to " + figure(of.most) +
          "</td><td>" + figure(of.spread) + "</td>";
 }
 
-std::string rules(const simulation::Answer& answer) {
+std::string rules(const simulation::Evaluation& evaluation) {
   std::string broken;
-  for (const auto& rule : answer.rules) {
+  for (const auto& rule : evaluation.rules) {
     if (rule.kept < rule.days)
       broken += (broken.empty() ? "" : "<br>") + escaped(rule.name) + ": broken on " +
                 std::to_string(rule.days - rule.kept) + " of " + std::to_string(rule.days) + " days, " +
@@ -64,14 +64,14 @@
   return broken.empty() ? "all kept" : broken;
 }
 
-std::string recorded(const Material& material) {
-  const auto& history = material.history;
+std::string recorded(const PageData& data) {
+  const auto& history = data.history;
   std::string text = "<h2>Recorded</h2>\n<p>" +
                      figure(std::chrono::duration<double>(history.length).count()) + " s, " +
                      std::to_string(history.lives.size()) + " lives of a governor, " +
                      std::to_string(history.reports.size()) + " reports, " +
                      std::to_string(history.replicas.size()) + " replicas. As the reports count, " +
-                     figure(material.error.recorded) + " of the worth asked for was answered.</p>\n";
+                     figure(data.error.recorded) + " of the worth asked for was answered.</p>\n";
   if (history.lost + history.damaged > 0) {
     text += "<p><b>Partial:</b> " + std::to_string(history.lost) + " calls were not kept and " +
             std::to_string(history.damaged) + " stretches are damaged; the model lacks them.</p>\n";
@@ -108,7 +108,7 @@
   return safe;
 }
 
-void write_page(const std::string& folder, const Material& material) {
+void write_page(const std::string& folder, const PageData& data) {
   std::error_code failed;
   fs::create_directories(folder, failed);
   if (failed) throw net::Error("the folder " + folder + ": " + failed.message());
@@ -118,18 +118,19 @@
       "done</title>\n<style>body{font-family:sans-serif;max-width:960px;margin:2em auto;padding:0 1em}"
       "table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.3em .6em;text-align:left}"
       "img{max-width:100%}</style></head><body>\n<h1>What other settings would have done</h1>\n";
-  html += recorded(material) + error(material.error);
+  html += recorded(data) + error(data.error);
   html +=
       "<h2>Modelled, not measured</h2>\n<table><tr><th>setting</th><th>service</th><th>bounds</th>"
       "<th>spread</th><th>worst 10 "
       "s</th><th>bounds</th><th>spread</th><th>messages</th><th>rules</th></tr>\n";
-  for (const auto& answer : material.answers) {
-    html += "<tr><td>" + escaped(answer.label) + "</td>" + bounded(answer.service) +
-            bounded(answer.worst_window) + "<td>" + std::to_string(static_cast<long long>(answer.messages)) +
-            "</td><td>" + rules(answer) + "</td></tr>\n";
+  for (const auto& evaluation : data.evaluations) {
+    html += "<tr><td>" + escaped(evaluation.label) + "</td>" + bounded(evaluation.service) +
+            bounded(evaluation.worst_window) + "<td>" +
+            std::to_string(static_cast<long long>(evaluation.messages)) + "</td><td>" + rules(evaluation) +
+            "</td></tr>\n";
   }
   html += "</table>\n";
-  for (const auto& plot : plots_of(material)) {
+  for (const auto& plot : make_plots(data)) {
     const auto script = fs::path(folder) / (plot.name + ".gp");
     put(script, plot.script);
     run_gnuplot(script, fs::path(folder) / (plot.name + ".svg"));
--- a/src/report/page.h
+++ b/src/report/page.h
@@ -9,7 +9,7 @@
 
 // FOLDER/index.html with its plots beside it. Throws net::Error if the folder cannot be written or gnuplot
 // cannot be run.
-void write_page(const std::string& folder, const Material& material);
+void write_page(const std::string& folder, const PageData& data);
 
 // Text for a page: nothing of it is read as a tag.
 std::string escaped(const std::string& text);
--- a/src/report/plots.cpp
+++ b/src/report/plots.cpp
@@ -42,45 +42,46 @@
 std::string row(double x, double y) { return number(x) + " " + number(y) + "\n"; }
 
 // Means of five seconds: single ones jump with chance.
-Plot service(const Material& material) {
+Plot service(const PageData& data) {
   constexpr std::size_t together = 5;
   std::vector<Line> lines;
-  for (const auto& answer : material.answers) {
+  for (const auto& evaluation : data.evaluations) {
     std::string rows;
-    const auto& by_second = answer.day.service;
+    const auto& by_second = evaluation.run.service;
     for (std::size_t n = 0; n + together <= by_second.size(); ++n) {
       const auto from = by_second.begin() + static_cast<std::ptrdiff_t>(n);
       rows += row(static_cast<double>(n) + together / 2.0,
                   std::accumulate(from, from + together, 0.0) / together);
     }
-    if (!rows.empty()) lines.push_back({answer.label, rows, "lines linewidth 2"});
+    if (!rows.empty()) lines.push_back({evaluation.label, rows, "lines linewidth 2"});
   }
   return {"service", "Service over five seconds, modelled: the worth answered in time, of that asked for.",
           head(360, "share of the worth") + "set yrange [0:1.02]\n" + draw(lines)};
 }
 
-Plot bounds(const Material& material) {
+Plot bounds(const PageData& data) {
   std::string rows;
-  for (std::size_t n = 0; n < material.answers.size(); ++n) {
-    const auto& answer = material.answers[n];
-    rows += std::to_string(n) + " " + number(answer.service.figure) + " " + number(answer.service.least) +
-            " " + number(answer.service.most) + " " + quoted(answer.label) + "\n";
+  for (std::size_t n = 0; n < data.evaluations.size(); ++n) {
+    const auto& evaluation = data.evaluations[n];
+    rows += std::to_string(n) + " " + number(evaluation.service.figure) + " " +
+            number(evaluation.service.least) + " " + number(evaluation.service.most) + " " +
+            quoted(evaluation.label) + "\n";
   }
   return {
       "bounds",
       "Service of the whole day with its bounds, modelled: what the record cannot tell went well, or ill.",
       head(320, "service") +
-          "unset xlabel\nunset key\nset xrange [-0.5:" + std::to_string(material.answers.size()) +
+          "unset xlabel\nunset key\nset xrange [-0.5:" + std::to_string(data.evaluations.size()) +
           "-0.5]\nset yrange [0:1.02]\n$data << END_OF_DATA\n" + rows +
           "END_OF_DATA\nplot $data using 1:2:3:4:xticlabels(5) with yerrorbars pointtype 7 linewidth 2\n"};
 }
 
-Plot weights(const Material& material, std::size_t which) {
-  const auto& day = material.answers[which].day;
-  const auto count = material.history.replicas.size();
+Plot weights(const PageData& data, std::size_t which) {
+  const auto& day = data.evaluations[which].run;
+  const auto count = data.history.replicas.size();
   std::vector<double> sums(count);
   for (const auto& shares : day.shares) {
-    for (std::size_t n = 0; n < count; ++n) sums[n] += shares.of[n];
+    for (std::size_t n = 0; n < count; ++n) sums[n] += shares.by_replica[n];
   }
   std::vector<std::size_t> order(count);
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -89,39 +90,38 @@
   std::vector<Line> lines;
   for (const auto n : order) {
     std::string rows;
-    for (const auto& shares : day.shares) rows += row(seconds(shares.at), shares.of[n]);
-    if (!rows.empty()) lines.push_back({material.history.replicas[n], rows, "steps linewidth 1.5"});
+    for (const auto& shares : day.shares) rows += row(seconds(shares.at), shares.by_replica[n]);
+    if (!rows.empty()) lines.push_back({data.history.replicas[n], rows, "steps linewidth 1.5"});
   }
   return {"weights-" + std::to_string(which),
           "What may be picked, by replica (the " + std::to_string(order.size()) +
-              " with most), modelled: " + material.answers[which].label + ".",
+              " with most), modelled: " + data.evaluations[which].label + ".",
           head(320, "share of all tables") + draw(lines)};
 }
 
-Plot withdrawals(const Material& material) {
+Plot withdrawals(const PageData& data) {
   std::vector<Line> lines;
-  for (std::size_t k = 0; k < material.answers.size(); ++k) {
+  for (std::size_t k = 0; k < data.evaluations.size(); ++k) {
     std::string rows;
-    for (const auto& of : material.answers[k].day.withdrawals) {
+    for (const auto& of : data.evaluations[k].run.withdrawals) {
       if (of.out)
         rows += row(seconds(of.at), static_cast<double>(of.replica) + 0.12 * static_cast<double>(k));
     }
-    if (!rows.empty()) lines.push_back({material.answers[k].label, rows, "points pointtype 7 pointsize 0.6"});
+    if (!rows.empty()) lines.push_back({data.evaluations[k].label, rows, "points pointtype 7 pointsize 0.6"});
   }
-  const auto length = number(seconds(material.history.length));
+  const auto length = number(seconds(data.history.length));
   std::string tics;
-  for (std::size_t n = 0; n < material.history.replicas.size() && n < 40; ++n)
-    tics += (n > 0 ? ", " : "") + quoted(material.history.replicas[n]) + " " + std::to_string(n);
+  for (std::size_t n = 0; n < data.history.replicas.size() && n < 40; ++n)
+    tics += (n > 0 ? ", " : "") + quoted(data.history.replicas[n]) + " " + std::to_string(n);
   if (lines.empty()) lines.push_back({"none", row(0, -1), "points"});
   return {"withdrawals", "Replicas withdrawn from every table, modelled.",
-          head(360, "") + "set xrange [0:" + length +
-              "]\nset yrange [-0.5:" + std::to_string(material.history.replicas.size()) + "]\nset ytics (" +
-              tics + ")\n" + draw(lines)};
+          head(360, "") + "set xrange [0:" + length + "]\nset yrange [-0.5:" +
+              std::to_string(data.history.replicas.size()) + "]\nset ytics (" + tics + ")\n" + draw(lines)};
 }
 
-Plot delays(const Material& material) {
+Plot delays(const PageData& data) {
   std::string rows;
-  for (const auto& report : material.history.reports)
+  for (const auto& report : data.history.reports)
     rows += row(seconds(report.arrived), seconds(report.arrived - report.to) * 1e3);
   if (rows.empty()) rows = row(0, 0);
   return {"delays", "How much later than the shortest way of its proxy each report came, recorded.",
@@ -140,11 +140,11 @@
   return safe + "\"";
 }
 
-std::vector<Plot> plots_of(const Material& material) {
-  std::vector<Plot> plots = {bounds(material), service(material)};
-  for (std::size_t n = 0; n < material.answers.size(); ++n) plots.push_back(weights(material, n));
-  plots.push_back(withdrawals(material));
-  plots.push_back(delays(material));
+std::vector<Plot> make_plots(const PageData& data) {
+  std::vector<Plot> plots = {bounds(data), service(data)};
+  for (std::size_t n = 0; n < data.evaluations.size(); ++n) plots.push_back(weights(data, n));
+  plots.push_back(withdrawals(data));
+  plots.push_back(delays(data));
   return plots;
 }
 
--- a/src/report/plots.h
+++ b/src/report/plots.h
@@ -4,15 +4,15 @@
 #include <string>
 #include <vector>
 
-#include "simulation/answer.h"
+#include "simulation/evaluation.h"
 
 namespace ospreypost::report {
 
 // What a page is made of: recorded and modelled apart.
-struct Material {
+struct PageData {
   const simulation::History& history;
   const simulation::ModelError& error;
-  const std::vector<simulation::Answer>& answers;
+  const std::vector<simulation::Evaluation>& evaluations;
 };
 
 struct Plot {
@@ -21,7 +21,7 @@
   std::string script;   // draws it to standard output as SVG
 };
 
-std::vector<Plot> plots_of(const Material& material);
+std::vector<Plot> make_plots(const PageData& data);
 
 // For a title within double quotes: what gnuplot would read as more than text is replaced.
 std::string quoted(const std::string& text);
--- a/src/simulation/answer.cpp
+++ b/src/simulation/evaluation.cpp
@@ -1,4 +1,4 @@
-#include "simulation/answer.h"
+#include "simulation/evaluation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -25,8 +25,8 @@
 }
 
 struct Stretch {
-  Counted recorded, modelled;
-  static double answered(const Counted& counted) { return 1 - counted.unanswered / counted.worth; }
+  ReportedService recorded, modelled;
+  static double answered(const ReportedService& counted) { return 1 - counted.unanswered / counted.worth; }
 };
 
 void check_same(const Deployment& recorded, const Deployment& other) {
@@ -40,11 +40,12 @@
 
 }  // namespace
 
-ModelError error_of(const History& history, const Deployment& recorded, const Asking& asking) {
+ModelError measure_model_error(const History& history, const Deployment& recorded,
+                               const EvaluationOptions& options) {
   ModelError error;
   error.stretch = history.length >= kLong ? Nanos(1min) : Nanos(5s);
   const auto per_stretch = static_cast<std::size_t>(error.stretch / 1s);
-  const auto seen = counted(history, recorded);
+  const auto seen = reported_service(history, recorded);
   std::vector<Stretch> stretches(seen.size() / per_stretch + 1);
   for (std::size_t s = 0; s < seen.size(); ++s) {
     stretches[s / per_stretch].recorded.worth += seen[s].worth;
@@ -56,20 +57,20 @@
     std::vector<bool> take;
     for (const auto& report : history.reports)
       take.push_back(static_cast<std::size_t>(std::max(report.from, Nanos{}) / error.stretch) % 2 == half);
-    const auto fleet = fit(history, recorded, Assume::middle, take);
-    for (std::size_t draw = 0; draw < asking.draws; ++draw) {
-      if (asking.progress) asking.progress(done++, 2 * asking.draws);
-      const auto day = play(history, recorded, fleet, static_cast<std::uint32_t>(1 + draw));
-      for (std::size_t s = 0; s < day.counted.size(); ++s) {
+    const auto fleet = fit(history, recorded, Assumption::middle, take);
+    for (std::size_t draw = 0; draw < options.draws; ++draw) {
+      if (options.progress) options.progress(done++, 2 * options.draws);
+      const auto day = simulate(history, recorded, fleet, static_cast<std::uint32_t>(1 + draw));
+      for (std::size_t s = 0; s < day.reported.size(); ++s) {
         const auto stretch = s / per_stretch;
         if (stretch % 2 == half || stretch >= stretches.size()) continue;
-        stretches[stretch].modelled.worth += day.counted[s].worth;
-        stretches[stretch].modelled.unanswered += day.counted[s].unanswered;
+        stretches[stretch].modelled.worth += day.reported[s].worth;
+        stretches[stretch].modelled.unanswered += day.reported[s].unanswered;
       }
     }
   }
   std::vector<double> off;
-  Counted all_recorded, all_modelled;
+  ReportedService all_recorded, all_modelled;
   double squares = 0;
   for (const auto& stretch : stretches) {
     if (stretch.recorded.worth <= 0 || stretch.modelled.worth <= 0) continue;
@@ -90,50 +91,51 @@
   return error;
 }
 
-Fitted fit_all(const History& history, const Deployment& recorded) {
-  return {fit(history, recorded, Assume::middle), fit(history, recorded, Assume::well),
-          fit(history, recorded, Assume::ill)};
+FittedFleets fit_all_assumptions(const History& history, const Deployment& recorded) {
+  return {fit(history, recorded, Assumption::middle), fit(history, recorded, Assumption::optimistic),
+          fit(history, recorded, Assumption::pessimistic)};
 }
 
-Answer answer(const History& history, const Fitted& fitted, const Deployment& recorded,
-              const Deployment& other, const std::string& label, const Asking& asking) {
+Evaluation evaluate(const History& history, const FittedFleets& fitted, const Deployment& recorded,
+                    const Deployment& other, const std::string& label, const EvaluationOptions& options) {
   check_same(recorded, other);
-  Answer answer;
-  answer.label = label;
+  Evaluation evaluation;
+  evaluation.label = label;
   std::size_t done = 0;
-  for (const auto* fleet : {&fitted.middle, &fitted.well, &fitted.ill}) {
+  for (const auto* fleet : {&fitted.middle, &fitted.optimistic, &fitted.pessimistic}) {
     const bool middle = fleet == &fitted.middle;
     std::vector<double> services, windows, messages;
-    for (std::size_t draw = 0; draw < asking.draws; ++draw) {
-      if (asking.progress) asking.progress(done++, 3 * asking.draws);
-      auto day = play(history, other, *fleet, static_cast<std::uint32_t>(1 + draw));
+    for (std::size_t draw = 0; draw < options.draws; ++draw) {
+      if (options.progress) options.progress(done++, 3 * options.draws);
+      auto day = simulate(history, other, *fleet, static_cast<std::uint32_t>(1 + draw));
       services.push_back(day.verdict.service.score());
       windows.push_back(day.verdict.service.worst_window);
       messages.push_back(static_cast<double>(day.messages));
-      if (answer.rules.empty()) {
-        for (const auto& rule : day.verdict.rules) answer.rules.push_back({rule.name, 0, 0, rule.figures});
+      if (evaluation.rules.empty()) {
+        for (const auto& rule : day.verdict.rules)
+          evaluation.rules.push_back({rule.name, 0, 0, rule.figures});
       }
-      for (std::size_t r = 0; r < answer.rules.size(); ++r) {
-        auto& rule = answer.rules[r];
+      for (std::size_t r = 0; r < evaluation.rules.size(); ++r) {
+        auto& rule = evaluation.rules[r];
         const auto& judged = day.verdict.rules[r];
         if (!judged.kept && rule.kept == rule.days) rule.worst = judged.figures;
         rule.kept += judged.kept;
         ++rule.days;
       }
-      if (middle && draw == 0) answer.day = std::move(day);
+      if (middle && draw == 0) evaluation.run = std::move(day);
     }
     const double service = mean_of(services), window = mean_of(windows);
     if (middle) {
-      answer.service = {service, service, service, deviation_of(services)};
-      answer.worst_window = {window, window, window, deviation_of(windows)};
-      answer.messages = mean_of(messages);
+      evaluation.service = {service, service, service, deviation_of(services)};
+      evaluation.worst_window = {window, window, window, deviation_of(windows)};
+      evaluation.messages = mean_of(messages);
     }
-    answer.service.least = std::min(answer.service.least, service);
-    answer.service.most = std::max(answer.service.most, service);
-    answer.worst_window.least = std::min(answer.worst_window.least, window);
-    answer.worst_window.most = std::max(answer.worst_window.most, window);
+    evaluation.service.least = std::min(evaluation.service.least, service);
+    evaluation.service.most = std::max(evaluation.service.most, service);
+    evaluation.worst_window.least = std::min(evaluation.worst_window.least, window);
+    evaluation.worst_window.most = std::max(evaluation.worst_window.most, window);
   }
-  return answer;
+  return evaluation;
 }
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/answer.h
+++ b/src/simulation/evaluation.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation/simulated_day.h"
+#include "simulation/simulated_run.h"
 
 namespace ospreypost::simulation {
 
@@ -20,42 +20,43 @@
   double worst = 0;  // the furthest off
 };
 
-struct Bounded {
+struct BoundedFigure {
   double least = 0, figure = 0, most = 0;
   double spread = 0;  // standard deviation of the figure from draw to draw
 };
 
-struct RuleKept {
+struct RuleResult {
   std::string name;
   std::size_t kept = 0, days = 0;  // of the days that were played
   std::string worst;               // figures of a day that broke it, or of the first
 };
 
-struct Answer {
+struct Evaluation {
   std::string label;
-  Bounded service, worst_window;
-  std::vector<RuleKept> rules;
-  PlayedDay day;        // one of those that the figure is the mean of, to look at
+  BoundedFigure service, worst_window;
+  std::vector<RuleResult> rules;
+  SimulatedRun run;     // one of those that the figure is the mean of, to look at
   double messages = 0;  // mean
 };
 
-struct Asking {
+struct EvaluationOptions {
   std::size_t draws = 5;  // days played for each assumption
   // Called before each day that is played, with how many there were and will be; may be empty.
   std::function<void(std::size_t done, std::size_t all)> progress;
 };
 
-ModelError error_of(const History& history, const Deployment& recorded, const Asking& asking);
+ModelError measure_model_error(const History& history, const Deployment& recorded,
+                               const EvaluationOptions& options);
 
 // The fleet of a record, under each assumption; the same whatever is asked about it.
-struct Fitted {
-  Fleet middle, well, ill;
+struct FittedFleets {
+  Fleet middle, optimistic, pessimistic;
 };
-Fitted fit_all(const History& history, const Deployment& recorded);
+FittedFleets fit_all_assumptions(const History& history, const Deployment& recorded);
 
 // `fitted`: of the same record by `recorded`; `other` is what is asked about. Throws std::invalid_argument if
 // the two do not name the same proxies and classes.
-Answer answer(const History& history, const Fitted& fitted, const Deployment& recorded,
-              const Deployment& other, const std::string& label, const Asking& asking);
+Evaluation evaluate(const History& history, const FittedFleets& fitted, const Deployment& recorded,
+                    const Deployment& other, const std::string& label, const EvaluationOptions& options);
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/evidence.cpp
+++ b/src/simulation/evidence.cpp
@@ -9,7 +9,7 @@
 
 // Calls `with` for each bin that a line covers, with the share of the line's span in it.
 template <typename With>
-void spread(const Seen& line, std::size_t bins, With with) {
+void spread(const ReplicaReport& line, std::size_t bins, With with) {
   const Nanos from = std::max(line.from, Nanos{});
   const double span = static_cast<double>((line.to - from).count());
   if (span <= 0) return;
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::vector<Evidence> evidence_of(const std::vector<Seen>& lines, Nanos length) {
+std::vector<Evidence> evidence_of(const std::vector<ReplicaReport>& lines, Nanos length) {
   const auto bins = static_cast<std::size_t>(length / kBin) + 1;
   std::vector<Evidence> evidence(bins);
   std::vector<double> failed(bins);
@@ -38,7 +38,7 @@
     });
   }
   for (std::size_t bin = 0; bin < bins; ++bin)
-    evidence[bin].fails = evidence[bin].any() ? failed[bin] / evidence[bin].attempts : 0;
+    evidence[bin].failure_ratio = evidence[bin].any() ? failed[bin] / evidence[bin].attempts : 0;
   std::vector<double> scaled(bins), weight(bins);
   for (int round = 0; round < kRounds; ++round) {
     std::fill(scaled.begin(), scaled.end(), 0);
@@ -46,8 +46,9 @@
     for (const auto& line : lines) {
       if (line.attempts <= 0) continue;
       double expected = 0;
-      spread(line, bins,
-             [&](std::size_t bin, double share) { expected += line.attempts * share * evidence[bin].fails; });
+      spread(line, bins, [&](std::size_t bin, double share) {
+        expected += line.attempts * share * evidence[bin].failure_ratio;
+      });
       const double more = expected > 1e-12 ? line.failed / expected : 1;
       spread(line, bins, [&](std::size_t bin, double share) {
         scaled[bin] += line.attempts * share * more;
@@ -56,7 +57,8 @@
     }
     for (std::size_t bin = 0; bin < bins; ++bin) {
       if (weight[bin] > 0)
-        evidence[bin].fails = std::clamp(evidence[bin].fails * scaled[bin] / weight[bin], 0.0, 1.0);
+        evidence[bin].failure_ratio =
+            std::clamp(evidence[bin].failure_ratio * scaled[bin] / weight[bin], 0.0, 1.0);
     }
   }
   return evidence;
--- a/src/simulation/fit.cpp
+++ b/src/simulation/fit.cpp
@@ -3,9 +3,9 @@
 #include <map>
 #include <numeric>
 
-#include "simulation/check.h"
 #include "simulation/evidence.h"
 #include "simulation/fleet.h"
+#include "simulation/history_check.h"
 
 namespace ospreypost::simulation {
 namespace {
@@ -48,12 +48,13 @@
 
 class Fitting {
  public:
-  Fitting(const History& history, const Deployment& deployment, Assume assume, const std::vector<bool>& take)
-      : history_(history), deployment_(deployment), assume_(assume), take_(take) {}
+  Fitting(const History& history, const Deployment& deployment, Assumption assumption,
+          const std::vector<bool>& take)
+      : history_(history), deployment_(deployment), assumption_(assumption), take_(take) {}
 
   Fleet fit() {
     const auto count = history_.replicas.size();
-    check(history_, deployment_);
+    check_history(history_, deployment_);
     fleet_.replicas.resize(count);
     listed_.resize(count);
     lines_.resize(count);
@@ -62,7 +63,9 @@
     read_reports();
     for (std::size_t n = 0; n < count; ++n) evidence_.push_back(evidence_of(lines_[n], history_.length));
     // Sums tell means; how far single operations lie apart is assumed.
-    fleet_.variation = assume_ == Assume::ill ? 1 : assume_ == Assume::well ? 0 : 0.5;
+    fleet_.variation = assumption_ == Assumption::pessimistic  ? 1
+                       : assumption_ == Assumption::optimistic ? 0
+                                                               : 0.5;
     fit_figures();
     fit_work();
     fit_cold();
@@ -114,14 +117,14 @@
     for (std::size_t r = 0; r < history_.reports.size(); ++r) {
       const auto& report = history_.reports[r];
       const bool teaches = take_.empty() || take_[r];
-      for (const auto& met : report.met) {
+      for (const auto& met : report.replica_lines) {
         const auto n = static_cast<std::size_t>(met.replica);
-        Seen line{report.from,
-                  report.to,
-                  static_cast<double>(met.attempts),
-                  static_cast<double>(met.failed),
-                  (met.attempts - met.failed) * seconds(met.mean_latency),
-                  {}};
+        ReplicaReport line{report.from,
+                           report.to,
+                           static_cast<double>(met.attempts),
+                           static_cast<double>(met.failed),
+                           (met.attempts - met.failed) * seconds(met.mean_latency),
+                           {}};
         if (util >= 0 && static_cast<std::size_t>(util) < met.load.size())
           line.util = met.load[static_cast<std::size_t>(util)];
         lines_[n].push_back(line);
@@ -163,7 +166,8 @@
     const auto& bins = take_.empty() ? evidence_[n] : taught;
     for (std::size_t b = 0; b < bins.size(); ++b) {
       const auto& bin = bins[b];
-      if (bin.handled <= 0 || bin.fails > kNoise || cold(n, static_cast<Nanos::rep>(b) * kBin)) continue;
+      if (bin.handled <= 0 || bin.failure_ratio > kNoise || cold(n, static_cast<Nanos::rep>(b) * kBin))
+        continue;
       usual.handled += bin.handled, usual.handled_seconds += bin.handled_seconds;
       usual.seconds += seconds(kBin);
     }
@@ -221,7 +225,9 @@
   }
 
   double assumed(const Cores& cores) const {
-    const double shift = assume_ == Assume::ill ? -cores.error : assume_ == Assume::well ? cores.error : 0;
+    const double shift = assumption_ == Assumption::pessimistic  ? -cores.error
+                         : assumption_ == Assumption::optimistic ? cores.error
+                                                                 : 0;
     return std::clamp(std::round(cores.count + shift), 1.0, kManyCores);
   }
 
@@ -279,17 +285,19 @@
   double cores_unseen(std::size_t n) const {
     double most = 1;
     for (const auto& bin : evidence_[n]) most = std::max(most, bin.handled_seconds / seconds(kBin));
-    return assume_ == Assume::ill ? most : assume_ == Assume::well ? 4 * most : 2 * most;
+    return assumption_ == Assumption::pessimistic  ? most
+           : assumption_ == Assumption::optimistic ? 4 * most
+                                                   : 2 * most;
   }
 
   double unknown_speed(const std::vector<double>& like) const {
     if (like.empty()) return mean_;
-    switch (assume_) {
-      case Assume::well:
+    switch (assumption_) {
+      case Assumption::optimistic:
         return *std::min_element(like.begin(), like.end());
-      case Assume::ill:
+      case Assumption::pessimistic:
         return *std::max_element(like.begin(), like.end());
-      case Assume::middle:
+      case Assumption::middle:
         break;
     }
     return std::accumulate(like.begin(), like.end(), 0.0) / static_cast<double>(like.size());
@@ -306,7 +314,7 @@
       const auto& report = history_.reports[r];
       if (!take_.empty() && !take_[r]) continue;
       double handled = 0, took = 0;
-      for (const auto& met : report.met) {
+      for (const auto& met : report.replica_lines) {
         const auto n = static_cast<std::size_t>(met.replica);
         const double count = met.attempts - met.failed;
         const double mean = seconds(met.mean_latency);
@@ -315,10 +323,11 @@
         took += count * mean / fleet_.replicas[n].slowness;
       }
       double asked = 0;
-      for (const auto& of : report.asked) asked += of.operations - std::min(of.operations, of.unanswered);
+      for (const auto& of : report.demand_lines)
+        asked += of.operations - std::min(of.operations, of.unanswered);
       if (handled <= 0 || asked <= 0) continue;
       std::vector<double> shares(classes);
-      for (const auto& of : report.asked)
+      for (const auto& of : report.demand_lines)
         shares[static_cast<std::size_t>(of.cls)] +=
             (of.operations - std::min(of.operations, of.unanswered)) / asked;
       operations += handled;
@@ -388,8 +397,8 @@
     for (const auto& report : history_.reports) {
       const auto bin = static_cast<std::size_t>(std::max(report.to - 1ns, Nanos{}) / 1s);
       if (bin >= bins) continue;
-      for (const auto& met : report.met) failed[bin] += met.failed;
-      for (const auto& of : report.asked) {
+      for (const auto& met : report.replica_lines) failed[bin] += met.failed;
+      for (const auto& of : report.demand_lines) {
         const auto k = static_cast<std::size_t>(of.cls);
         asked[k][bin] += of.operations;
         lost[k][bin] += of.unanswered;
@@ -426,16 +435,16 @@
     return bin.attempts * base_[n] / seconds(kBin) > kRoom * fleet_.replicas[n].cores;
   }
 
-  double slower(std::size_t n, const Evidence& bin, Nanos at) const {
+  double fault_slowdown(std::size_t n, const Evidence& bin, Nanos at) const {
     if (bin.handled < 0.2 || cold(n, at) || loaded(n, bin)) return 1;
     const double mean = bin.handled_seconds / bin.handled;
     return mean > kSlow * base_[n] ? mean / base_[n] : 1;
   }
 
-  double fails(std::size_t n, const Evidence& bin, Nanos at) const {
-    if (bin.fails < kNoise) return 0;
-    const bool by_itself = bin.fails < kFull && (loaded(n, bin) || cold(n, at));
-    return by_itself ? 0 : bin.fails;
+  double fault_failure_ratio(std::size_t n, const Evidence& bin, Nanos at) const {
+    if (bin.failure_ratio < kNoise) return 0;
+    const bool by_itself = bin.failure_ratio < kFull && (loaded(n, bin) || cold(n, at));
+    return by_itself ? 0 : bin.failure_ratio;
   }
 
   // What the list says of a whole stretch: it was ready through it, and one process.
@@ -457,7 +466,7 @@
     };
     for (std::size_t b = 0; b < bins.size(); ++b) {
       if (!bins[b].any()) continue;
-      const double fails = this->fails(n, bins[b], time_of(b));
+      const double fails = fault_failure_ratio(n, bins[b], time_of(b));
       if (last) {
         const Nanos from = time_of(*last + 1), to = time_of(b);
         if (to - from >= kShort && one_life(n, from, to) && (last_fails >= kIll || fails >= kIll)) {
@@ -467,7 +476,7 @@
           add(from, to, (last_fails + fails) / 2, 1);
         }
       }
-      const double slow = slower(n, bins[b], time_of(b));
+      const double slow = fault_slowdown(n, bins[b], time_of(b));
       if (fails >= kIll && last_fails < kIll) hangs = hung(n, b);
       if (fails > 0 || slow > 1) add(time_of(b), time_of(b + 1), fails, slow);
       last = b;
@@ -490,8 +499,10 @@
   static void add_spell(std::vector<Spell>& spells, const Spell& spell) {
     if (spell.from >= spell.to) return;
     const auto alike = [](double a, double b) { return std::abs(a - b) <= 0.1 * std::max(a, b); };
-    if (!spells.empty() && spells.back().to == spell.from && alike(spells.back().fails, spell.fails) &&
-        alike(spells.back().slower, spell.slower) && alike(spells.back().never_ran, spell.never_ran)) {
+    if (!spells.empty() && spells.back().to == spell.from &&
+        alike(spells.back().failure_ratio, spell.failure_ratio) &&
+        alike(spells.back().slowdown, spell.slowdown) &&
+        alike(spells.back().not_run_ratio, spell.not_run_ratio)) {
       spells.back().to = spell.to;
     } else {
       spells.push_back(spell);
@@ -508,7 +519,7 @@
   // Tries that hang are counted when they are given up on, so that there is a hole before the first: how deep
   // it is tells hanging from failing at once. `begins`: the first bin with failures.
   double hung(std::size_t n, std::size_t begins) const {
-    if (assume_ != Assume::middle) return assume_ == Assume::ill ? 1 : 0;
+    if (assumption_ != Assumption::middle) return assumption_ == Assumption::pessimistic ? 1 : 0;
     if (!usual_[n].any()) return 0.5;
     const auto& bins = evidence_[n];
     const auto hole = std::max<std::size_t>(1, static_cast<std::size_t>(patience() / kBin));
@@ -528,8 +539,8 @@
   // What befell a try that hung began so much before it was counted.
   void shift(std::vector<Spell>& spells) const {
     for (auto& spell : spells) {
-      if (spell.fails < kIll) continue;
-      const double hung = spell.hangs * (1 - spell.never_ran);
+      if (spell.failure_ratio < kIll) continue;
+      const double hung = spell.hang_ratio * (1 - spell.not_run_ratio);
       spell.from -= Nanos(std::llround(hung * static_cast<double>(patience().count())));
     }
     for (std::size_t n = 1; n < spells.size(); ++n)
@@ -539,14 +550,14 @@
   // Between two looks of which one told of failures: over at once, just before the next look, or half way.
   template <typename Add>
   void fill(Nanos from, Nanos to, double before, double after, Add add) const {
-    if (assume_ == Assume::well) return;
+    if (assumption_ == Assumption::optimistic) return;
     const Nanos middle = from + (to - from) / 2;
     if (before >= kIll && after >= kIll) {
       add(from, to, (before + after) / 2, 1);
     } else if (before >= kIll) {
-      add(from, assume_ == Assume::ill ? to : middle, before, 1);
+      add(from, assumption_ == Assumption::pessimistic ? to : middle, before, 1);
     } else {
-      add(assume_ == Assume::ill ? from : middle, to, after, 1);
+      add(assumption_ == Assumption::pessimistic ? from : middle, to, after, 1);
     }
   }
 
@@ -558,11 +569,11 @@
 
   const History& history_;
   const Deployment& deployment_;
-  const Assume assume_;
+  const Assumption assumption_;
   const std::vector<bool>& take_;
   Fleet fleet_;
   std::vector<std::vector<Listed>> listed_;
-  std::vector<std::vector<Seen>> lines_, taught_;
+  std::vector<std::vector<ReplicaReport>> lines_, taught_;
   std::vector<std::vector<Evidence>> evidence_;
   std::vector<double> never_ran_;  // of the fleet's failed tries, by second
   std::vector<Usual> usual_;
@@ -572,9 +583,9 @@
 
 }  // namespace
 
-Fleet fit(const History& history, const Deployment& deployment, Assume assume,
+Fleet fit(const History& history, const Deployment& deployment, Assumption assumption,
           const std::vector<bool>& take) {
-  return Fitting(history, deployment, assume, take).fit();
+  return Fitting(history, deployment, assumption, take).fit();
 }
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/fleet.h
+++ b/src/simulation/fleet.h
@@ -23,15 +23,15 @@
 };
 
 // What the record cannot tell is assumed to have gone well, ill, or half of each.
-enum class Assume { well, middle, ill };
+enum class Assumption { optimistic, middle, pessimistic };
 
 // A replica fails, or is slow, for some time.
 struct Spell {
   Nanos from{}, to{};
-  double fails = 0;      // share of its tries
-  double slower = 1;     // times as long
-  double never_ran = 0;  // share of the failed tries that did no work and may be tried again
-  double hangs = 0;      // share of the other failed tries that are given up on, not answered
+  double failure_ratio = 0;  // share of its tries
+  double slowdown = 1;       // times as long
+  double not_run_ratio = 0;  // share of the failed tries that did no work and may be tried again
+  double hang_ratio = 0;     // share of the other failed tries that are given up on, not answered
 };
 
 struct ReplicaModel {
@@ -57,7 +57,7 @@
 
 // Throws std::invalid_argument if the two do not go together (whatif/check.h). `take` says which reports may
 // teach it the standing figures (work, speed, cores, repeats); what befell the replicas is read from all.
-Fleet fit(const History& history, const Deployment& deployment, Assume assume,
+Fleet fit(const History& history, const Deployment& deployment, Assumption assumption,
           const std::vector<bool>& take = {});
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/history.h
+++ b/src/simulation/history.h
@@ -11,14 +11,14 @@
 namespace ospreypost::simulation {
 
 // What a proxy met at one replica over a report's span.
-struct Met {
+struct ReplicaLine {
   ReplicaId replica{};
   std::uint32_t attempts = 0, failed = 0;
   Nanos mean_latency{};  // of the handled ones
   std::vector<float> load;
 };
 
-struct Asked {
+struct DemandLine {
   ClassId cls{};
   std::uint32_t operations = 0, unanswered = 0;
 };
@@ -28,13 +28,13 @@
 struct Report {
   ProxyId proxy{};
   Nanos from{}, to{}, arrived{};
-  std::vector<Met> met;
-  std::vector<Asked> asked;
+  std::vector<ReplicaLine> replica_lines;
+  std::vector<DemandLine> demand_lines;
   double seconds() const { return std::chrono::duration<double>(to - from).count(); }
 };
 
 // News of the list; `entries` is empty where it could not be read.
-struct ListNews {
+struct ListEvent {
   Nanos at{};
   EndpointListKind kind = EndpointListKind::changes;
   bool failed = false;
@@ -50,31 +50,31 @@
   bool fresh = true;
 };
 
-struct Applied {
+struct Acknowledgement {
   ProxyId proxy{};
   Nanos took{};
 };
 
-struct PeerWords {
+struct PeerMessage {
   Nanos at{};
   PeerId peer{};
   std::string message;
 };
 
 // From a governor's start to the last thing it was told.
-struct Life {
+struct Incarnation {
   Nanos from{}, to{};
 };
 
 struct History {
   std::string configuration;  // of the first life
   Nanos length{};
-  std::vector<Life> lives;
+  std::vector<Incarnation> lives;
   std::vector<Report> reports;  // by arrival
-  std::vector<ListNews> lists;
+  std::vector<ListEvent> lists;
   std::vector<Membership> memberships;
-  std::vector<Applied> applied;
-  std::vector<PeerWords> peers;
+  std::vector<Acknowledgement> applied;
+  std::vector<PeerMessage> peers;
   // One id for each name through all lives, whatever number each life gave it.
   std::vector<std::string> replicas;
   // Reports whose proxy and delay the record does not tell (schema 1): attributed by their order.
--- a/src/simulation/check.cpp
+++ b/src/simulation/history_check.cpp
@@ -1,4 +1,4 @@
-#include "simulation/check.h"
+#include "simulation/history_check.h"
 
 #include <stdexcept>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void check(const History& history, const Deployment& deployment) {
+void check_history(const History& history, const Deployment& deployment) {
   need(history.length <= kLongestRecord &&
            static_cast<std::size_t>(history.length / kBin + 1) <= kMostBins / (history.replicas.size() + 1),
        kTooLong);
@@ -27,7 +27,7 @@
   std::uint64_t operations = 0;
   for (const auto& report : history.reports) {
     need(known_proxy(report.proxy), kForeign);
-    for (const auto& asked : report.asked) {
+    for (const auto& asked : report.demand_lines) {
       need(static_cast<std::size_t>(asked.cls) < deployment.classes.size(), kForeign);
       operations += asked.operations;
     }
--- a/src/simulation/check.h
+++ b/src/simulation/history_check.h
@@ -12,6 +12,6 @@
 
 // Throws std::invalid_argument if the record names proxies, classes or zones that the deployment has not, or
 // is too long.
-void check(const History& history, const Deployment& deployment);
+void check_history(const History& history, const Deployment& deployment);
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/modelled_replica.cpp
+++ b/src/simulation/modelled_replica.cpp
@@ -48,9 +48,9 @@
   clock_.at(until, [held] { end(*held, Outcome::unknown); });
   boost::random::uniform_real_distribution<double> share(0, 1);
   const auto* trouble = spell();
-  if (trouble && share(chance_) < trouble->fails) {
-    const bool never_ran = share(chance_) < trouble->never_ran;
-    if (!never_ran && share(chance_) < trouble->hangs) return;
+  if (trouble && share(chance_) < trouble->failure_ratio) {
+    const bool never_ran = share(chance_) < trouble->not_run_ratio;
+    if (!never_ran && share(chance_) < trouble->hang_ratio) return;
     if (!never_ran) held->begins();
     clock_.at(clock_.now() + kAtOnce,
               [held, never_ran] { end(*held, never_ran ? Outcome::refused : Outcome::failed); });
@@ -75,7 +75,7 @@
     warmth = fleet_.initial_warm_up_capacity + (1 - fleet_.initial_warm_up_capacity) * age;
   }
   const auto* trouble = spell();
-  double takes = held->work * model_.slowness / warmth * (trouble ? trouble->slower : 1);
+  double takes = held->work * model_.slowness / warmth * (trouble ? trouble->slowdown : 1);
   if (fleet_.variation > 0.01) {
     const double shape = 1 / (fleet_.variation * fleet_.variation);
     takes *= boost::random::gamma_distribution<double>(shape, 1 / shape)(chance_);
--- a/src/simulation/simulated_day.cpp
+++ b/src/simulation/simulated_run.cpp
@@ -1,4 +1,4 @@
-#include "simulation/simulated_day.h"
+#include "simulation/simulated_run.h"
 
 #include <algorithm>
 #include <boost/random/uniform_real_distribution.hpp>
@@ -8,7 +8,7 @@
 
 #include "routing_state/pull_delivery.h"
 #include "routing_state/routing_state.h"
-#include "simulation/check.h"
+#include "simulation/history_check.h"
 #include "simulation/modelled_replica.h"
 
 namespace ospreypost::simulation {
@@ -38,13 +38,13 @@
   return zones;
 }
 
-std::vector<Counted> count(const std::vector<Report>& reports, Nanos length,
-                           const std::map<ProxyId, ZoneId>& served, const Settings& settings) {
-  std::vector<Counted> counts(static_cast<std::size_t>(length / 1s) + 1);
+std::vector<ReportedService> count(const std::vector<Report>& reports, Nanos length,
+                                   const std::map<ProxyId, ZoneId>& served, const Settings& settings) {
+  std::vector<ReportedService> counts(static_cast<std::size_t>(length / 1s) + 1);
   for (const auto& report : reports) {
     const auto second = static_cast<std::size_t>(std::max(report.to - 1ns, Nanos{}) / 1s);
     if (second >= counts.size() || !served.contains(report.proxy)) continue;
-    for (const auto& of : report.asked) {
+    for (const auto& of : report.demand_lines) {
       const double priority_weight = settings.classes[index(of.cls)].priority_weight;
       counts[second].worth += of.operations * priority_weight;
       counts[second].unanswered += of.unanswered * priority_weight;
@@ -171,7 +171,7 @@
     std::vector<float> load;
   };
   std::map<ReplicaId, Met> met;
-  std::vector<Asked> asked;
+  std::vector<DemandLine> asked;
   bool joined = false, forwards = false;
   std::uint64_t asking = 0;  // counts its series of questions
 };
@@ -185,7 +185,7 @@
         chance_(seed),
         proxies_(deployment.proxies.size()),
         served_(zones_of_served(history)) {
-    check(history, deployment);
+    check_history(history, deployment);
     for (const auto& model : fleet.replicas) replicas_.emplace_back(model, fleet, clock_, chance_);
     listed_.resize(replicas_.size(), EndpointPhase::gone);
     for (auto& proxy : proxies_) {
@@ -195,7 +195,7 @@
     }
   }
 
-  PlayedDay play() {
+  SimulatedRun play() {
     plan_lives();
     plan_lists();
     plan_memberships();
@@ -246,7 +246,7 @@
     for (const auto& news : history_.lists) clock_.at(news.at, [this, &news] { list(news); });
   }
 
-  void list(const ListNews& news) {
+  void list(const ListEvent& news) {
     if (news.failed) {
       if (governing_)
         governing_->call([](Controller& governor, Nanos now) { governor.on_endpoint_list_failed(now); });
@@ -353,7 +353,7 @@
   void plan_arrivals() {
     boost::random::uniform_real_distribution<double> moment(0, 1);
     for (const auto& report : history_.reports) {
-      for (const auto& of : report.asked) {
+      for (const auto& of : report.demand_lines) {
         const double fresh = of.operations - fleet_.repeats[index(of.cls)] * of.unanswered;
         const double whole = std::floor(std::max(0.0, fresh));
         const auto count = static_cast<std::uint32_t>(whole) + (moment(chance_) < fresh - whole ? 1 : 0);
@@ -564,19 +564,19 @@
   }
 
   void deliver(ProxyId id, Nanos span, Nanos to, const std::map<ReplicaId, ModelledProxy::Met>& met,
-               const std::vector<Asked>& asked) {
+               const std::vector<DemandLine>& asked) {
     Report report{id, to - span, to, clock_.now(), {}, asked};
     for (const auto& [replica, of] : met) {
       const auto handled = of.attempts - of.failed;
-      report.met.push_back({replica, of.attempts, of.failed, {}, of.load});
+      report.replica_lines.push_back({replica, of.attempts, of.failed, {}, of.load});
       if (handled > 0)
-        report.met.back().mean_latency = Nanos(std::llround(of.handled_seconds / handled * 1e9));
+        report.replica_lines.back().mean_latency = Nanos(std::llround(of.handled_seconds / handled * 1e9));
     }
     played_.reports.push_back(report);
     if (!governing_) return;
     const auto known = served_.find(id);
     const auto zone = known == served_.end() ? ZoneId{} : known->second;
-    for (const auto& of : report.met) {
+    for (const auto& of : report.replica_lines) {
       const ReplicaLoadReport sum{zone, of.replica, of.attempts, of.failed, of.mean_latency, span, of.load};
       governing_->call([&](Controller& governor, Nanos now) { governor.on_replica_load_report(now, sum); });
     }
@@ -591,24 +591,24 @@
 
   void sample() {
     if (!governing_ || !governing_->version()) return;
-    Shares shares{clock_.now(), std::vector<double>(replicas_.size())};
+    TableShares shares{clock_.now(), std::vector<double>(replicas_.size())};
     double all = 0;
     for (const auto& [proxy, proxy_snapshot] : governing_->version()->proxy_snapshots) {
       for (const auto& view : proxy_snapshot->routing_tables) {
         if (!view) continue;
         double sum = 0;
         for (const auto& line : view->entries) sum += line.weight;
-        for (const auto& line : view->entries) shares.of[index(line.replica)] += line.weight / sum;
+        for (const auto& line : view->entries) shares.by_replica[index(line.replica)] += line.weight / sum;
         all += view->entries.empty() ? 0 : 1;
       }
     }
-    for (auto& share : shares.of) share = all > 0 ? share / all : 0;
+    for (auto& share : shares.by_replica) share = all > 0 ? share / all : 0;
     played_.shares.push_back(std::move(shares));
   }
 
   void finish() {
     note_counts();
-    played_.counted = count(played_.reports, history_.length, served_, deployment_.settings);
+    played_.reported = count(played_.reports, history_.length, served_, deployment_.settings);
     played_.verdict = checker::judge(trace_, deployment_.limits, history_.length, played_.worst_waiting);
     played_.service = checker::service_by_second(trace_, deployment_.limits, Nanos{}, history_.length);
   }
@@ -629,16 +629,17 @@
   std::optional<Governing> governing_;
   checker::Trace trace_;
   std::uint64_t last_ = 0;
-  PlayedDay played_;
+  SimulatedRun played_;
 };
 
 }  // namespace
 
-PlayedDay play(const History& history, const Deployment& deployment, const Fleet& fleet, std::uint32_t seed) {
+SimulatedRun simulate(const History& history, const Deployment& deployment, const Fleet& fleet,
+                      std::uint32_t seed) {
   return Day(history, deployment, fleet, seed).play();
 }
 
-std::vector<Counted> counted(const History& history, const Deployment& deployment) {
+std::vector<ReportedService> reported_service(const History& history, const Deployment& deployment) {
   return count(history.reports, history.length, zones_of_served(history), deployment.settings);
 }
 
--- a/src/simulation/simulated_day.h
+++ b/src/simulation/simulated_run.h
@@ -8,15 +8,15 @@
 namespace ospreypost::simulation {
 
 // As proxies' reports count it, over one second.
-struct Counted {
+struct ReportedService {
   double worth = 0;       // of the operations that were asked for
   double unanswered = 0;  // of those that were not answered
 };
 
 // What the orders came to at a moment: each replica's share of what all proxies may pick, all classes.
-struct Shares {
+struct TableShares {
   Nanos at{};
-  std::vector<double> of;  // by replica
+  std::vector<double> by_replica;  // by replica
 };
 
 struct Withdrawal {
@@ -25,11 +25,11 @@
   bool out = true;
 };
 
-struct PlayedDay {
+struct SimulatedRun {
   checker::Verdict verdict;
-  std::vector<Counted> counted;  // by second of the reports' spans
-  std::vector<double> service;   // by second: worth answered in time, of that asked for
-  std::vector<Shares> shares;    // once a second
+  std::vector<ReportedService> reported;  // by second of the reports' spans
+  std::vector<double> service;            // by second: worth answered in time, of that asked for
+  std::vector<TableShares> shares;        // once a second
   std::vector<Withdrawal> withdrawals;
   std::uint64_t messages = 0;   // with news, to all proxies
   double worst_waiting = 0;     // lines
@@ -38,9 +38,10 @@
 };
 
 // Throws std::invalid_argument if the record names proxies or classes that the deployment has not.
-PlayedDay play(const History& history, const Deployment& deployment, const Fleet& fleet, std::uint32_t seed);
+SimulatedRun simulate(const History& history, const Deployment& deployment, const Fleet& fleet,
+                      std::uint32_t seed);
 
 // The same counts as the record has them, up to its end.
-std::vector<Counted> counted(const History& history, const Deployment& deployment);
+std::vector<ReportedService> reported_service(const History& history, const Deployment& deployment);
 
 }  // namespace ospreypost::simulation
--- a/tests/program/history_test.cpp
+++ b/tests/program/history_test.cpp
@@ -53,7 +53,7 @@
   const auto history = read_history({path});
   EXPECT_EQ(history.guessed, 6U);
   ASSERT_EQ(history.reports.size(), 3U);
-  EXPECT_EQ(history.reports.front().met.size(), 2U);
+  EXPECT_EQ(history.reports.front().replica_lines.size(), 2U);
 }
 
 TEST(HistoryReaderTest, KnowsReplicasByNameThroughAllIncarnations) {
@@ -66,11 +66,11 @@
   ASSERT_EQ(history.reports.size(), 16U);
   // In the second incarnation z is its first: 0 of 9 attempts failed there.
   const auto& last = history.reports.back();
-  ASSERT_EQ(last.met.size(), 2U);
-  EXPECT_EQ(last.met[0].replica, ReplicaId{2});
-  EXPECT_EQ(last.met[0].failed, 0U);
-  EXPECT_EQ(last.met[1].replica, ReplicaId{0});
-  EXPECT_EQ(last.asked.size(), 2U);
+  ASSERT_EQ(last.replica_lines.size(), 2U);
+  EXPECT_EQ(last.replica_lines[0].replica, ReplicaId{2});
+  EXPECT_EQ(last.replica_lines[0].failed, 0U);
+  EXPECT_EQ(last.replica_lines[1].replica, ReplicaId{0});
+  EXPECT_EQ(last.demand_lines.size(), 2U);
   EXPECT_EQ(last.arrived - last.to, 8ms);
   EXPECT_GT(history.lives[1].from, history.lives[0].to - 1ns);
 }
--- a/tests/program/report_assembler_test.cpp
+++ b/tests/program/report_assembler_test.cpp
@@ -11,9 +11,9 @@
 
 LineOrigin origin_at(Nanos arrived, Nanos span = 1s) { return {arrived, kProxy, 5ms, span}; }
 
-simulation::Met met_at(std::uint32_t replica) { return {ReplicaId{replica}, 9, 1, 80ms, {}}; }
+simulation::ReplicaLine met_at(std::uint32_t replica) { return {ReplicaId{replica}, 9, 1, 80ms, {}}; }
 
-simulation::Asked asked_of(std::uint16_t cls) { return {ClassId{cls}, 10, 1}; }
+simulation::DemandLine asked_of(std::uint16_t cls) { return {ClassId{cls}, 10, 1}; }
 
 TEST(ReportAssemblerTest, PutsLinesThatComeTogetherIntoOneReport) {
   ReportAssembler assembler;
@@ -26,8 +26,8 @@
   EXPECT_EQ(reports[0].arrived, 10s);
   EXPECT_EQ(reports[0].to, 10s - 5ms);
   EXPECT_EQ(reports[0].from, 9s - 5ms);
-  EXPECT_EQ(reports[0].met.size(), 2U);
-  EXPECT_EQ(reports[0].asked.size(), 1U);
+  EXPECT_EQ(reports[0].replica_lines.size(), 2U);
+  EXPECT_EQ(reports[0].demand_lines.size(), 1U);
 }
 
 TEST(ReportAssemblerTest, BeginsAReportAfterAPauseOrWithAnotherSpan) {
@@ -71,8 +71,8 @@
   EXPECT_EQ(assembler.attributed_lines(), 1U);
   const auto reports = assembler.take_reports();
   ASSERT_EQ(reports.size(), 1U);
-  ASSERT_EQ(reports[0].met.size(), 1U);
-  EXPECT_EQ(reports[0].met[0].replica, ReplicaId{3});
+  ASSERT_EQ(reports[0].replica_lines.size(), 1U);
+  EXPECT_EQ(reports[0].replica_lines[0].replica, ReplicaId{3});
 }
 
 }  // namespace
--- a/tests/program/report_test.cpp
+++ b/tests/program/report_test.cpp
@@ -19,18 +19,18 @@
   history.replicas = {"a\"; system \"touch pwned", "<b>&"};
   history.reports.push_back({ProxyId{0}, 1s, 2s, 2s + 30ms, {}, {}});
   simulation::ModelError error;
-  simulation::Answer answer;
-  answer.label = "x' END_OF_DATA <script>";
-  answer.service = {0.5, 0.75, 1, 0.01};
-  answer.rules = {{"no proxy bare", 1, 2, "longest 9 s"}};
+  simulation::Evaluation evaluation;
+  evaluation.label = "x' END_OF_DATA <script>";
+  evaluation.service = {0.5, 0.75, 1, 0.01};
+  evaluation.rules = {{"no proxy bare", 1, 2, "longest 9 s"}};
   for (int n = 0; n < 10; ++n) {
-    answer.day.service.push_back(0.9);
-    answer.day.shares.push_back({n * 1s, {0.25, 0.75}});
+    evaluation.run.service.push_back(0.9);
+    evaluation.run.shares.push_back({n * 1s, {0.25, 0.75}});
   }
-  answer.day.withdrawals.push_back({3s, ReplicaId{1}, true});
+  evaluation.run.withdrawals.push_back({3s, ReplicaId{1}, true});
   auto pattern = (std::filesystem::temp_directory_path() / "ospreypost-page-XXXXXX").string();
   const std::filesystem::path folder = ::mkdtemp(pattern.data());
-  write_page(folder.string(), {history, error, {answer}});
+  write_page(folder.string(), {history, error, {evaluation}});
   std::ostringstream html;
   html << std::ifstream(folder / "index.html").rdbuf();
   EXPECT_EQ(html.str().find("<script"), std::string::npos);
--- a/tests/program/simulation_test.cpp
+++ b/tests/program/simulation_test.cpp
@@ -8,7 +8,7 @@
 #include <numeric>
 
 #include "program/support.h"
-#include "simulation/answer.h"
+#include "simulation/evaluation.h"
 #include "simulation/evidence.h"
 #include "terms/deployment.h"
 
@@ -22,7 +22,7 @@
 // --- When a replica failed
 
 // The plain model: each line's failures spread evenly over its span.
-double plain_fails(const std::vector<Seen>& lines, std::size_t bin) {
+double plain_fails(const std::vector<ReplicaReport>& lines, std::size_t bin) {
   double attempts = 0, failed = 0;
   for (const auto& line : lines) {
     const Nanos from = std::max(line.from, static_cast<Nanos::rep>(bin) * kBin);
@@ -35,7 +35,7 @@
 }
 
 RC_GTEST_PROP(Evidence, KeepsTriesAndSharesOfThem, ()) {
-  std::vector<Seen> lines;
+  std::vector<ReplicaReport> lines;
   double attempts = 0;
   for (int n = *rc::gen::inRange(0, 40); n > 0; --n) {
     const Nanos from = *rc::gen::inRange(0, 9000) * 1ms;
@@ -46,7 +46,7 @@
   const auto evidence = evidence_of(lines, 10s);
   double found = 0;
   for (const auto& bin : evidence) {
-    RC_ASSERT(bin.fails >= 0 && bin.fails <= 1);
+    RC_ASSERT(bin.failure_ratio >= 0 && bin.failure_ratio <= 1);
     found += bin.attempts;
   }
   RC_ASSERT(std::abs(found - attempts) < 1e-6 * std::max(1.0, attempts));
@@ -54,7 +54,7 @@
 
 // Five proxies whose spans begin at different moments see a replica fail from 5 s on.
 TEST(Evidence, FindsTheMomentThatSpansOverlap) {
-  std::vector<Seen> lines;
+  std::vector<ReplicaReport> lines;
   for (int proxy = 0; proxy < 5; ++proxy) {
     for (Nanos from = proxy * 200ms; from < 9s; from += 1s) {
       const double well = std::clamp(seconds(5s - from), 0.0, 1.0);
@@ -65,7 +65,7 @@
   double off = 0, plain_off = 0;
   for (std::size_t bin = 10; bin < 40; ++bin) {
     const double truth = bin < 25 ? 0 : 1;
-    off += std::abs(evidence[bin].fails - truth);
+    off += std::abs(evidence[bin].failure_ratio - truth);
     plain_off += std::abs(plain_fails(lines, bin) - truth);
   }
   EXPECT_LT(off, plain_off / 2);
@@ -86,7 +86,7 @@
   history.length = length;
   history.lives = {{0s, length}};
   history.replicas = {"east-1", "east-2", "west-1", "west-2"};
-  ListNews list{1ms, EndpointListKind::cached, false, {}};
+  ListEvent list{1ms, EndpointListKind::cached, false, {}};
   for (std::uint32_t n = 0; n < 4; ++n)
     list.entries.push_back(
         {ReplicaId{n}, ZoneId{static_cast<std::uint16_t>(n / 2)}, {}, {}, EndpointPhase::ready, 1, {}});
@@ -130,8 +130,8 @@
   auto history = made_history(60s, 20);
   auto truth = made_fleet();
   truth.replicas[2].spells = {{20s, 26s, 1, 1, 0, 0}};
-  history.reports = play(history, deployment(), truth, 3).reports;
-  const auto found = fit(history, deployment(), Assume::middle);
+  history.reports = simulate(history, deployment(), truth, 3).reports;
+  const auto found = fit(history, deployment(), Assumption::middle);
   for (std::size_t n = 0; n < 4; ++n) {
     const double slowness = truth.replicas[n].slowness;
     EXPECT_NEAR(found.replicas[n].slowness / found.replicas[0].slowness, slowness / 0.8, 0.2 * slowness / 0.8)
@@ -141,7 +141,7 @@
   ASSERT_FALSE(found.replicas[2].spells.empty());
   EXPECT_NEAR(seconds(found.replicas[2].spells.front().from), 20, 1.2);
   for (const std::size_t well : {0U, 1U, 3U}) {
-    for (const auto& spell : found.replicas[well].spells) EXPECT_LT(spell.fails, 0.2) << well;
+    for (const auto& spell : found.replicas[well].spells) EXPECT_LT(spell.failure_ratio, 0.2) << well;
   }
 }
 
@@ -150,11 +150,11 @@
     auto history = made_history(40s, 30);
     auto truth = made_fleet();
     truth.replicas[2].spells = {{20s, 25s, 1, 1, 0, hangs}};
-    history.reports = play(history, deployment(), truth, 5).reports;
-    const auto found = fit(history, deployment(), Assume::middle);
+    history.reports = simulate(history, deployment(), truth, 5).reports;
+    const auto found = fit(history, deployment(), Assumption::middle);
     ASSERT_FALSE(found.replicas[2].spells.empty());
     const auto& spell = found.replicas[2].spells.front();
-    EXPECT_EQ(spell.hangs > 0.5, hangs > 0.5);
+    EXPECT_EQ(spell.hang_ratio > 0.5, hangs > 0.5);
     EXPECT_NEAR(seconds(spell.from), 20, 1.2);
   }
 }
@@ -163,26 +163,26 @@
 TEST(Fit, BoundsWhatNobodySaw) {
   auto history = made_history(40s, 20);
   for (auto& report : history.reports) {
-    if (report.to > 10s && report.to <= 12s) report.met = {{ReplicaId{2}, 9, 9, {}, {}}};
+    if (report.to > 10s && report.to <= 12s) report.replica_lines = {{ReplicaId{2}, 9, 9, {}, {}}};
   }
-  const auto ill_until = [&](Assume assume) {
+  const auto ill_until = [&](Assumption assume) {
     const auto fleet = fit(history, deployment(), assume);
     return fleet.replicas[2].spells.empty() ? 0 : seconds(fleet.replicas[2].spells.back().to);
   };
-  EXPECT_NEAR(ill_until(Assume::well), 12, 0.5);
-  EXPECT_NEAR(ill_until(Assume::ill), 40, 0.5);
-  EXPECT_GT(ill_until(Assume::middle), 20);
-  EXPECT_LT(ill_until(Assume::middle), 35);
-  EXPECT_GT(fit(history, deployment(), Assume::middle).unseen, 0.1);
+  EXPECT_NEAR(ill_until(Assumption::optimistic), 12, 0.5);
+  EXPECT_NEAR(ill_until(Assumption::pessimistic), 40, 0.5);
+  EXPECT_GT(ill_until(Assumption::middle), 20);
+  EXPECT_LT(ill_until(Assumption::middle), 35);
+  EXPECT_GT(fit(history, deployment(), Assumption::middle).unseen, 0.1);
 }
 
 TEST(Fit, RefusesWhatItCannotHold) {
   auto history = made_history(10s, 1);
   history.length = 24h * 365;
-  EXPECT_THROW(fit(history, deployment(), Assume::middle), std::invalid_argument);
+  EXPECT_THROW(fit(history, deployment(), Assumption::middle), std::invalid_argument);
   history = made_history(10s, 1);
   history.reports.front().proxy = ProxyId{77};
-  EXPECT_THROW(play(history, deployment(), made_fleet(), 1), std::invalid_argument);
+  EXPECT_THROW(simulate(history, deployment(), made_fleet(), 1), std::invalid_argument);
 }
 
 // --- A played day
@@ -191,19 +191,21 @@
   const auto history = made_history(30s, 20, 4s);
   auto fleet = made_fleet();
   fleet.replicas[0].spells = {{8s, 12s, 0.7, 1, 0.3, 0.5}};
-  const auto first = play(history, deployment(), fleet, 1), again = play(history, deployment(), fleet, 1);
+  const auto first = simulate(history, deployment(), fleet, 1),
+             again = simulate(history, deployment(), fleet, 1);
   EXPECT_EQ(first.service, again.service);
   EXPECT_EQ(first.messages, again.messages);
   ASSERT_EQ(first.shares.size(), again.shares.size());
-  for (std::size_t n = 0; n < first.shares.size(); ++n) EXPECT_EQ(first.shares[n].of, again.shares[n].of);
-  const auto other = play(history, deployment(), fleet, 2);
+  for (std::size_t n = 0; n < first.shares.size(); ++n)
+    EXPECT_EQ(first.shares[n].by_replica, again.shares[n].by_replica);
+  const auto other = simulate(history, deployment(), fleet, 2);
   EXPECT_NE(total(first.service), total(other.service));
 }
 
 // Reports come when they came: late, together and after younger ones.
 TEST(Played, DeliversReportsExactlyAsTheyCame) {
   const auto history = made_history(30s, 10, 4s);
-  const auto day = play(history, deployment(), made_fleet(), 1);
+  const auto day = simulate(history, deployment(), made_fleet(), 1);
   ASSERT_EQ(day.reports.size(), history.reports.size());
   bool out_of_order = false;
   for (std::size_t n = 0; n < day.reports.size(); ++n) {
@@ -217,12 +219,12 @@
 // A setting with another reporting interval makes the module arm other timers, and gets other reports.
 TEST(Played, DealsReportsAnewForAnotherInterval) {
   const auto history = made_history(31s, 10);
-  const auto day = play(history, deployment("every=\"1 s\" load", "every=\"3 s\" load"), made_fleet(), 1);
+  const auto day = simulate(history, deployment("every=\"1 s\" load", "every=\"3 s\" load"), made_fleet(), 1);
   EXPECT_EQ(day.reports.size(), 2 * 10U);
   for (const auto& report : day.reports) EXPECT_EQ(report.to - report.from, 3s);
   std::uint64_t operations = 0;
   for (const auto& report : day.reports) {
-    for (const auto& of : report.asked) operations += of.operations;
+    for (const auto& of : report.demand_lines) operations += of.operations;
   }
   EXPECT_EQ(operations, 2 * 30 * (10 + 5U));
 }
@@ -231,7 +233,7 @@
   const auto history = made_history(40s, 20);
   auto fleet = made_fleet();
   fleet.replicas[2].spells = {{10s, 30s, 1, 1, 0, 0}};
-  const auto day = play(history, deployment(), fleet, 1);
+  const auto day = simulate(history, deployment(), fleet, 1);
   const auto out = std::find_if(day.withdrawals.begin(), day.withdrawals.end(),
                                 [](const auto& of) { return of.out && of.replica == ReplicaId{2}; });
   ASSERT_NE(out, day.withdrawals.end());
@@ -249,10 +251,10 @@
                            false,
                            {{ReplicaId{0}, {}, {}, {}, EndpointPhase::draining, 1, {}}}});
   auto limits = deployment();
-  for (const auto& rule : play(history, limits, made_fleet(), 1).verdict.rules)
+  for (const auto& rule : simulate(history, limits, made_fleet(), 1).verdict.rules)
     EXPECT_TRUE(rule.kept) << rule.name << ": " << rule.figures;
   limits.limits.drain_grace = 1ns;
-  EXPECT_FALSE(play(history, limits, made_fleet(), 1).verdict.kept());
+  EXPECT_FALSE(simulate(history, limits, made_fleet(), 1).verdict.kept());
 }
 
 // --- Answers
@@ -261,11 +263,11 @@
   auto history = made_history(30s, 20);
   auto truth = made_fleet();
   truth.replicas[0].spells = {{8s, 12s, 1, 1, 0, 0.5}};
-  history.reports = play(history, deployment(), truth, 1).reports;
-  Asking asking;
-  asking.draws = 2;
-  const auto answered =
-      answer(history, fit_all(history, deployment()), deployment(), deployment(), "own", asking);
+  history.reports = simulate(history, deployment(), truth, 1).reports;
+  EvaluationOptions options;
+  options.draws = 2;
+  const auto answered = evaluate(history, fit_all_assumptions(history, deployment()), deployment(),
+                                 deployment(), "own", options);
   EXPECT_LE(answered.service.least, answered.service.figure);
   EXPECT_GE(answered.service.most, answered.service.figure);
   for (const auto& rule : answered.rules) EXPECT_EQ(rule.days, 6U);
@@ -277,26 +279,26 @@
   auto truth = made_fleet();
   truth.replicas[0].spells = {{12s, 18s, 1, 1, 0, 0}};
   truth.replicas[3].spells = {{40s, 46s, 1, 1, 0, 0}};
-  history.reports = play(history, deployment(), truth, 1).reports;
-  Asking asking;
-  asking.draws = 2;
-  const auto small = error_of(history, deployment(), asking);
+  history.reports = simulate(history, deployment(), truth, 1).reports;
+  EvaluationOptions options;
+  options.draws = 2;
+  const auto small = measure_model_error(history, deployment(), options);
   EXPECT_LT(small.root_mean_square, 0.06);
   EXPECT_GT(small.stretches, 8U);
   // Operations that nobody answered though no try failed: nothing in the model does that.
   for (auto& report : history.reports) {
-    for (auto& of : report.asked) of.unanswered = of.operations / 2;
+    for (auto& of : report.demand_lines) of.unanswered = of.operations / 2;
   }
-  EXPECT_GT(error_of(history, deployment(), asking).root_mean_square, 0.3);
+  EXPECT_GT(measure_model_error(history, deployment(), options).root_mean_square, 0.3);
 }
 
 TEST(Answer, RefusesASettingOfOtherNames) {
   const auto history = made_history(10s, 5);
-  EXPECT_THROW(answer(history, fit_all(history, deployment()), deployment(),
-                      deployment("\"forwarder-3\"", "\"forwarder-9\""), "x", {}),
+  EXPECT_THROW(evaluate(history, fit_all_assumptions(history, deployment()), deployment(),
+                        deployment("\"forwarder-3\"", "\"forwarder-9\""), "x", {}),
                std::invalid_argument);
-  EXPECT_THROW(answer(history, fit_all(history, deployment()), deployment(),
-                      deployment("\"read-status\"", "\"look\""), "x", {}),
+  EXPECT_THROW(evaluate(history, fit_all_assumptions(history, deployment()), deployment(),
+                        deployment("\"read-status\"", "\"look\""), "x", {}),
                std::invalid_argument);
 }
 
