--- a/src/simulation/evaluation.cpp
+++ b/src/simulation/evaluation.cpp
@@ -9,7 +9,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr Nanos kLong = 4min;  // a record from which whole minutes are held out; from a shorter one, less
+// Minimum length of a record for stretches of a minute in the measurement of the model's error. A shorter
+// record is divided into stretches of 5 s.
+constexpr Nanos kMinLengthForMinuteStretches = 4min;
 
 double mean_of(const std::vector<double>& values) {
   double sum = 0;
@@ -26,16 +28,18 @@
 
 struct Stretch {
   ReportedService recorded, modelled;
-  static double answered(const ReportedService& counted) { return 1 - counted.unanswered / counted.worth; }
+  static double answered_share(const ReportedService& reported) {
+    return 1 - reported.unanswered / reported.worth;
+  }
 };
 
-void check_same(const Deployment& recorded, const Deployment& other) {
+void check_same_names(const Deployment& recorded, const Deployment& other) {
   if (recorded.proxies != other.proxies)
-    throw std::invalid_argument("the setting names other proxies than the record");
+    throw std::invalid_argument("the configuration names other proxies than the record");
   if (recorded.classes != other.classes)
-    throw std::invalid_argument("the setting names other classes than the record");
+    throw std::invalid_argument("the configuration names other classes than the record");
   if (recorded.zones != other.zones)
-    throw std::invalid_argument("the setting names other zones than the record");
+    throw std::invalid_argument("the configuration names other zones than the record");
 }
 
 }  // namespace
@@ -43,51 +47,54 @@
 ModelError measure_model_error(const History& history, const Deployment& recorded,
                                const EvaluationOptions& options) {
   ModelError error;
-  error.stretch = history.length >= kLong ? Nanos(1min) : Nanos(5s);
+  error.stretch = history.length >= kMinLengthForMinuteStretches ? Nanos(1min) : Nanos(5s);
   const auto per_stretch = static_cast<std::size_t>(error.stretch / 1s);
-  const auto seen = reported_service(history, recorded);
-  std::vector<Stretch> stretches(seen.size() / per_stretch + 1);
-  for (std::size_t s = 0; s < seen.size(); ++s) {
-    stretches[s / per_stretch].recorded.worth += seen[s].worth;
-    stretches[s / per_stretch].recorded.unanswered += seen[s].unanswered;
+  const auto recorded_seconds = reported_service(history, recorded);
+  std::vector<Stretch> stretches(recorded_seconds.size() / per_stretch + 1);
+  for (std::size_t second = 0; second < recorded_seconds.size(); ++second) {
+    stretches[second / per_stretch].recorded.worth += recorded_seconds[second].worth;
+    stretches[second / per_stretch].recorded.unanswered += recorded_seconds[second].unanswered;
   }
-  // Each half teaches, and is then asked about the other.
+  // The model is fitted from every second stretch and compared with the record on the other stretches, for
+  // both halves.
   std::size_t done = 0;
   for (const std::size_t half : {0, 1}) {
-    std::vector<bool> take;
+    std::vector<bool> training_reports;
     for (const auto& report : history.reports)
-      take.push_back(static_cast<std::size_t>(std::max(report.from, Nanos{}) / error.stretch) % 2 == half);
-    const auto fleet = fit(history, recorded, Assumption::middle, take);
+      training_reports.push_back(
+          static_cast<std::size_t>(std::max(report.from, Nanos{}) / error.stretch) % 2 == half);
+    const auto fleet = fit(history, recorded, Assumption::middle, training_reports);
     for (std::size_t draw = 0; draw < options.draws; ++draw) {
       if (options.progress) options.progress(done++, 2 * options.draws);
-      const auto day = simulate(history, recorded, fleet, static_cast<std::uint32_t>(1 + draw));
-      for (std::size_t s = 0; s < day.reported.size(); ++s) {
-        const auto stretch = s / per_stretch;
+      const auto run = simulate(history, recorded, fleet, static_cast<std::uint32_t>(1 + draw));
+      for (std::size_t second = 0; second < run.reported.size(); ++second) {
+        const auto stretch = second / per_stretch;
         if (stretch % 2 == half || stretch >= stretches.size()) continue;
-        stretches[stretch].modelled.worth += day.reported[s].worth;
-        stretches[stretch].modelled.unanswered += day.reported[s].unanswered;
+        stretches[stretch].modelled.worth += run.reported[second].worth;
+        stretches[stretch].modelled.unanswered += run.reported[second].unanswered;
       }
     }
   }
-  std::vector<double> off;
+  std::vector<double> differences;
   ReportedService all_recorded, all_modelled;
   double squares = 0;
   for (const auto& stretch : stretches) {
     if (stretch.recorded.worth <= 0 || stretch.modelled.worth <= 0) continue;
-    off.push_back(Stretch::answered(stretch.modelled) - Stretch::answered(stretch.recorded));
-    squares += off.back() * off.back();
-    if (std::abs(off.back()) > std::abs(error.worst)) error.worst = off.back();
+    differences.push_back(Stretch::answered_share(stretch.modelled) -
+                          Stretch::answered_share(stretch.recorded));
+    squares += differences.back() * differences.back();
+    if (std::abs(differences.back()) > std::abs(error.worst)) error.worst = differences.back();
     all_recorded.worth += stretch.recorded.worth;
     all_recorded.unanswered += stretch.recorded.unanswered;
     all_modelled.worth += stretch.modelled.worth;
     all_modelled.unanswered += stretch.modelled.unanswered;
   }
-  error.stretches = off.size();
-  if (off.empty()) return error;
-  error.mean = mean_of(off);
-  error.root_mean_square = std::sqrt(squares / static_cast<double>(off.size()));
-  error.recorded = Stretch::answered(all_recorded);
-  error.modelled = Stretch::answered(all_modelled);
+  error.stretches = differences.size();
+  if (differences.empty()) return error;
+  error.mean = mean_of(differences);
+  error.root_mean_square = std::sqrt(squares / static_cast<double>(differences.size()));
+  error.recorded = Stretch::answered_share(all_recorded);
+  error.modelled = Stretch::answered_share(all_modelled);
   return error;
 }
 
@@ -98,7 +105,7 @@
 
 Evaluation evaluate(const History& history, const FittedFleets& fitted, const Deployment& recorded,
                     const Deployment& other, const std::string& label, const EvaluationOptions& options) {
-  check_same(recorded, other);
+  check_same_names(recorded, other);
   Evaluation evaluation;
   evaluation.label = label;
   std::size_t done = 0;
@@ -107,22 +114,22 @@
     std::vector<double> services, windows, messages;
     for (std::size_t draw = 0; draw < options.draws; ++draw) {
       if (options.progress) options.progress(done++, 3 * options.draws);
-      auto day = simulate(history, other, *fleet, static_cast<std::uint32_t>(1 + draw));
-      services.push_back(day.verdict.service.score());
-      windows.push_back(day.verdict.service.worst_window);
-      messages.push_back(static_cast<double>(day.messages));
+      auto run = simulate(history, other, *fleet, static_cast<std::uint32_t>(1 + draw));
+      services.push_back(run.verdict.service.score());
+      windows.push_back(run.verdict.service.worst_window);
+      messages.push_back(static_cast<double>(run.messages));
       if (evaluation.rules.empty()) {
-        for (const auto& rule : day.verdict.rules)
+        for (const auto& rule : run.verdict.rules)
           evaluation.rules.push_back({rule.name, 0, 0, rule.figures});
       }
       for (std::size_t r = 0; r < evaluation.rules.size(); ++r) {
         auto& rule = evaluation.rules[r];
-        const auto& judged = day.verdict.rules[r];
-        if (!judged.kept && rule.kept == rule.days) rule.worst = judged.figures;
-        rule.kept += judged.kept;
+        const auto& result = run.verdict.rules[r];
+        if (!result.kept && rule.kept == rule.days) rule.worst = result.figures;
+        rule.kept += result.kept;
         ++rule.days;
       }
-      if (middle && draw == 0) evaluation.run = std::move(day);
+      if (middle && draw == 0) evaluation.run = std::move(run);
     }
     const double service = mean_of(services), window = mean_of(windows);
     if (middle) {
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,4 +1,5 @@
-// Simulated time: what is to happen, in the order of its times, and in the order given where they are equal.
+// A clock of simulated time with a queue of actions. Actions run in the order of their times; actions of the
+// same time run in the order in which they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +14,32 @@
 class EventQueue {
  public:
   Nanos now() const { return now_; }
-  // Not before now.
-  void at(Nanos at, std::function<void()> act) { due_.push({std::max(at, now_), given_++, std::move(act)}); }
-  // What is due by then; timers arm each other for ever.
+  // Runs `action` at `time`, or at the present time if `time` has passed.
+  void schedule(Nanos time, std::function<void()> action) {
+    events_.push({std::max(time, now_), scheduled_++, std::move(action)});
+  }
+  // Runs the actions that are due by `end`. The end is needed because timers restart each other without end.
   void run_until(Nanos end) {
-    while (!due_.empty() && due_.top().at <= end) {
-      auto next = std::move(const_cast<Due&>(due_.top()));
-      due_.pop();
-      now_ = next.at;
-      next.act();
+    while (!events_.empty() && events_.top().time <= end) {
+      auto next = std::move(const_cast<Event&>(events_.top()));
+      events_.pop();
+      now_ = next.time;
+      next.action();
     }
   }
 
  private:
-  struct Due {
-    Nanos at{};
-    std::uint64_t given = 0;
-    std::function<void()> act;
-    bool operator<(const Due& other) const { return at != other.at ? at > other.at : given > other.given; }
+  struct Event {
+    Nanos time{};
+    std::uint64_t sequence_number = 0;
+    std::function<void()> action;
+    // Reversed, as std::priority_queue returns its largest element first.
+    bool operator<(const Event& other) const {
+      return time != other.time ? time > other.time : sequence_number > other.sequence_number;
+    }
   };
-  std::priority_queue<Due> due_;
-  std::uint64_t given_ = 0;
+  std::priority_queue<Event> events_;
+  std::uint64_t scheduled_ = 0;
   Nanos now_{};
 };
 
--- a/src/simulation/evidence.h
+++ b/src/simulation/evidence.h
@@ -1,5 +1,5 @@
-// When a replica failed, told from counts over spans that overlap: each proxy's line covers a span of its
-// own, and a failure lies somewhere in it. Pure.
+// Estimates when a replica failed, from counts over spans that overlap: each proxy's report covers a span of
+// its own, and the time of a failure within the span is unknown. The estimate has no side effects.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,10 @@
 
 namespace ospreypost::simulation {
 
+// Length of one bin of evidence.
 inline constexpr Nanos kBin = std::chrono::milliseconds(200);
 
-// One proxy's line about the replica.
+// Results of one proxy's attempts at the replica over a span.
 struct ReplicaReport {
   Nanos from{}, to{};
   double attempts = 0, failed = 0;
@@ -19,16 +20,18 @@
   std::optional<double> util;
 };
 
-// One bin of a replica's time.
+// Estimated results of all attempts at a replica in one bin of time.
 struct Evidence {
   double attempts = 0, handled = 0, handled_seconds = 0;
-  double failure_ratio = 0;  // share of the tries, 0 to 1
-  double util = 0, utils = 0;
+  double failure_ratio = 0;    // failed attempts per attempt, 0 to 1
+  double util = 0, utils = 0;  // weighted sum of the reported utilization, and sum of the weights
   bool any() const { return attempts > 1e-9; }
 };
 
-// By bins from 0 to `length`. Lines that overlap are brought to agree (Richardson 1972, Lucy 1974: shares of
-// the bins are scaled, again and again, by how much more each line counted than they come to).
-std::vector<Evidence> evidence_of(const std::vector<ReplicaReport>& lines, Nanos length);
+// Returns one entry for each bin from 0 to `length`. Reports that overlap are reconciled by the
+// Richardson-Lucy algorithm (Richardson 1972, Lucy 1974): each iteration scales the failure ratios of the
+// bins by the ratio of the failures that a report counted to the failures that the bins predict for the
+// report.
+std::vector<Evidence> evidence_of(const std::vector<ReplicaReport>& reports, Nanos length);
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/fit.cpp
+++ b/src/simulation/fit.cpp
@@ -14,23 +14,40 @@
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
 
-constexpr double kIll = 0.2;            // share of failures that makes a bin tell of a trouble
-constexpr double kFull = 0.5;           // a share that load alone does not bring
-constexpr double kNoise = 0.02;         // a share below that is nobody's trouble
-constexpr double kWaited = 1.5;         // times the usual, above which a line tells of waiting
-constexpr double kSlow = 3;             // times the usual, and
-constexpr double kRoom = 0.7;           // at this share of the cores or less: then it is slow, not loaded
-constexpr double kMostRepeats = 0.95;   // more would never end
-constexpr Nanos kShort = 600ms;         // between two looks; nothing is made of less
-constexpr double kFallbackWork = 0.05;  // seconds, where a record tells nothing
-constexpr double kWhole = 0.75;     // of the usual tries where failures come at once: chance makes holes too
-constexpr double kHollow = 0.35;    // where they come after a wait
-constexpr double kLeastWait = 0.1;  // of an operation: less cannot be told from chance
-constexpr double kWaitSlack = 1.5;
-constexpr double kFewReadings = 40;  // of the load, below which cores stay unknown
-constexpr double kSurelyOther = 2;   // standard errors
-constexpr double kFewTries = 20;     // handled ones, below which a replica's own mean is none
-constexpr double kManyCores = 64;
+// Failure ratio from which a bin shows a fault.
+constexpr double kMinFaultFailureRatio = 0.2;
+// Failure ratio that load or a cold start alone does not reach.
+constexpr double kMaxLoadFailureRatio = 0.5;
+// Failure ratio below which failures are noise.
+constexpr double kNoiseFailureRatio = 0.02;
+// Mean latency of a report line, relative to the usual service time, above which the line includes queueing.
+constexpr double kQueueingLatencyFactor = 1.5;
+// Mean latency relative to the usual service time from which a replica is slow, if the load on its cores is
+// at most kMaxUnloadedUtilization. With a higher load, queueing may explain the latency.
+constexpr double kSlowLatencyFactor = 3;
+constexpr double kMaxUnloadedUtilization = 0.7;
+// Maximum probability of a repeat; with a higher probability, repeats would hardly end.
+constexpr double kMaxRepeatProbability = 0.95;
+// Minimum length of a gap without attempts that is examined for a fault.
+constexpr Nanos kMinGap = 600ms;
+// Service time in seconds if the record shows none.
+constexpr double kFallbackWork = 0.05;
+// Depth of the gap before the first counted failures, as the gap's attempts relative to the usual number of
+// attempts. At kImmediateFailureGap all failures are immediate (less than 1, as random arrivals leave gaps
+// too), at kHangGap all attempts hang.
+constexpr double kImmediateFailureGap = 0.75;
+constexpr double kHangGap = 0.35;
+// Minimum queueing time relative to the service time; a shorter time is not distinguishable from noise.
+constexpr double kMinQueueingRatio = 0.1;
+// Factor on the measured queueing time up to which a predicted queueing time agrees with the measured one.
+constexpr double kQueueingTolerance = 1.5;
+// Minimum number of load readings from which cores are estimated.
+constexpr double kMinLoadReadings = 40;
+// Number of standard errors from which two estimates differ significantly.
+constexpr double kSignificantErrors = 2;
+// Minimum number of successful attempts from which a replica's own mean latency is used.
+constexpr double kMinHandledAttempts = 20;
+constexpr double kMaxCores = 64;
 
 double median(std::vector<double> values) {
   if (values.empty()) return 0;
@@ -39,18 +56,21 @@
   return values[values.size() / 2];
 }
 
-// When the list had a replica ready, and since when its process has run.
+// A period in which the endpoint list had a replica ready, and the start time of the replica's process.
 struct Listed {
   Nanos from{}, to{};
   std::optional<Nanos> started;
-  bool covers(Nanos at) const { return from <= at && at < to; }
+  bool covers(Nanos time) const { return from <= time && time < to; }
 };
 
 class Fitting {
  public:
   Fitting(const History& history, const Deployment& deployment, Assumption assumption,
-          const std::vector<bool>& take)
-      : history_(history), deployment_(deployment), assumption_(assumption), take_(take) {}
+          const std::vector<bool>& training_reports)
+      : history_(history),
+        deployment_(deployment),
+        assumption_(assumption),
+        training_reports_(training_reports) {}
 
   Fleet fit() {
     const auto count = history_.replicas.size();
@@ -58,20 +78,20 @@
     fleet_.replicas.resize(count);
     listed_.resize(count);
     lines_.resize(count);
-    taught_.resize(count);
+    training_lines_.resize(count);
     read_lists();
     read_reports();
     for (std::size_t n = 0; n < count; ++n) evidence_.push_back(evidence_of(lines_[n], history_.length));
-    // Sums tell means; how far single operations lie apart is assumed.
+    // Reports hold only sums, which determine mean service times. The variation between requests is assumed.
     fleet_.variation = assumption_ == Assumption::pessimistic  ? 1
                        : assumption_ == Assumption::optimistic ? 0
                                                                : 0.5;
-    fit_figures();
+    fit_replicas();
     fit_work();
-    fit_cold();
+    fit_warm_up();
     fit_clients();
     for (std::size_t n = 0; n < count; ++n) fit_spells(n);
-    fit_pushes();
+    fit_push_time();
     return std::move(fleet_);
   }
 
@@ -80,28 +100,28 @@
     const auto close = [&](std::size_t n, Nanos at) {
       if (!listed_[n].empty() && listed_[n].back().to == Nanos::max()) listed_[n].back().to = at;
     };
-    for (const auto& news : history_.lists) {
-      if (news.failed) continue;
-      if (news.kind != EndpointListKind::changes) {
+    for (const auto& event : history_.lists) {
+      if (event.failed) continue;
+      if (event.kind != EndpointListKind::changes) {
         for (std::size_t n = 0; n < listed_.size(); ++n) {
-          const bool named = std::any_of(news.entries.begin(), news.entries.end(), [&](const auto& entry) {
+          const bool named = std::any_of(event.entries.begin(), event.entries.end(), [&](const auto& entry) {
             return static_cast<std::size_t>(entry.replica) == n;
           });
-          if (!named) close(n, news.at);
+          if (!named) close(n, event.at);
         }
       }
-      for (const auto& entry : news.entries) {
+      for (const auto& entry : event.entries) {
         const auto n = static_cast<std::size_t>(entry.replica);
         if (entry.phase != EndpointPhase::gone) {
           fleet_.replicas[n].zone = entry.zone;
           fleet_.replicas[n].kind = entry.kind;
         }
         if (entry.phase != EndpointPhase::ready) {
-          close(n, news.at);
+          close(n, event.at);
         } else if (listed_[n].empty() || listed_[n].back().to != Nanos::max() ||
                    listed_[n].back().started != entry.started) {
-          close(n, news.at);
-          listed_[n].push_back({news.at, Nanos::max(), entry.started});
+          close(n, event.at);
+          listed_[n].push_back({event.at, Nanos::max(), entry.started});
         }
       }
     }
@@ -116,195 +136,221 @@
     }
     for (std::size_t r = 0; r < history_.reports.size(); ++r) {
       const auto& report = history_.reports[r];
-      const bool teaches = take_.empty() || take_[r];
-      for (const auto& met : report.replica_lines) {
-        const auto n = static_cast<std::size_t>(met.replica);
+      const bool in_training = training_reports_.empty() || training_reports_[r];
+      for (const auto& replica_line : report.replica_lines) {
+        const auto n = static_cast<std::size_t>(replica_line.replica);
         ReplicaReport line{report.from,
                            report.to,
-                           static_cast<double>(met.attempts),
-                           static_cast<double>(met.failed),
-                           (met.attempts - met.failed) * seconds(met.mean_latency),
+                           static_cast<double>(replica_line.attempts),
+                           static_cast<double>(replica_line.failed),
+                           (replica_line.attempts - replica_line.failed) * seconds(replica_line.mean_latency),
                            {}};
-        if (util >= 0 && static_cast<std::size_t>(util) < met.load.size())
-          line.util = met.load[static_cast<std::size_t>(util)];
+        if (util >= 0 && static_cast<std::size_t>(util) < replica_line.load.size())
+          line.util = replica_line.load[static_cast<std::size_t>(util)];
         lines_[n].push_back(line);
-        if (teaches) taught_[n].push_back(line);
+        if (in_training) training_lines_[n].push_back(line);
       }
     }
   }
 
-  // Whether a replica that was started within the record, or just before, was still cold then.
-  bool cold(std::size_t n, Nanos at) const {
+  // Returns whether the replica's process was warming up at `time`. Processes are known from the endpoint
+  // list.
+  bool is_cold(std::size_t n, Nanos time) const {
     for (const auto& listed : listed_[n]) {
-      if (listed.covers(at) && listed.started && at < *listed.started + deployment_.settings.warm_up_duration)
+      if (listed.covers(time) && listed.started &&
+          time < *listed.started + deployment_.settings.warm_up_duration)
         return true;
     }
     return false;
   }
 
-  // What a replica did while it was well and warm.
-  struct Usual {
+  // Sums over the time in which a replica was warm and without faults.
+  struct HealthySums {
     double handled = 0, handled_seconds = 0, seconds = 0;
-    double own_handled = 0, own_seconds = 0;       // summed over each proxy's own lines
-    double util = 0, util_squares = 0, utils = 0;  // readings
+    // Attempts, and the length of the spans, summed over the lines of all proxies.
+    double line_handled = 0, line_seconds = 0;
+    double util = 0, util_squares = 0, readings = 0;  // of the reported utilization
     double mean() const { return handled_seconds / handled; }
     double rate() const { return handled / seconds; }
-    bool any() const { return handled >= kFewTries && seconds > 0; }
-    // A reading is the last answer's before its report was made. What was in work then and had been sent by
-    // the same proxy would mostly have answered later, and been the last: of a mean of `a`, all but 1 -
-    // exp(-a) is left (arrivals by chance). Others' operations are seen whole.
-    double seen_in_work(double base) const {
-      const double own = own_seconds > 0 ? own_handled / own_seconds * base : 0;
-      return std::max(0.0, rate() * base - (1 - std::exp(-own)));
+    bool any() const { return handled >= kMinHandledAttempts && seconds > 0; }
+    // Returns the mean number of attempts in service that a utilization reading includes. A reading comes
+    // from the last answer before the report. Attempts of the same proxy that were in service then are mostly
+    // missing from the reading, as their own answers would have been later. With random arrivals and a mean
+    // of `a` of the proxy's own attempts in service, 1 - exp(-a) of them are missing. Attempts of other
+    // proxies are all included.
+    double in_service_at_reading(double service_seconds) const {
+      const double own = line_seconds > 0 ? line_handled / line_seconds * service_seconds : 0;
+      return std::max(0.0, rate() * service_seconds - (1 - std::exp(-own)));
     }
   };
 
-  Usual usual_of(std::size_t n) const {
-    Usual usual;
-    // Where all reports teach, it is there already.
-    const auto taught = take_.empty() ? std::vector<Evidence>{} : evidence_of(taught_[n], history_.length);
-    const auto& bins = take_.empty() ? evidence_[n] : taught;
+  HealthySums healthy_sums_of(std::size_t n) const {
+    HealthySums sums;
+    // Without a selection of reports, evidence_ already holds the evidence of all reports.
+    const auto training_evidence = training_reports_.empty()
+                                       ? std::vector<Evidence>{}
+                                       : evidence_of(training_lines_[n], history_.length);
+    const auto& bins = training_reports_.empty() ? evidence_[n] : training_evidence;
     for (std::size_t b = 0; b < bins.size(); ++b) {
       const auto& bin = bins[b];
-      if (bin.handled <= 0 || bin.failure_ratio > kNoise || cold(n, static_cast<Nanos::rep>(b) * kBin))
+      if (bin.handled <= 0 || bin.failure_ratio > kNoiseFailureRatio ||
+          is_cold(n, static_cast<Nanos::rep>(b) * kBin))
         continue;
-      usual.handled += bin.handled, usual.handled_seconds += bin.handled_seconds;
-      usual.seconds += seconds(kBin);
+      sums.handled += bin.handled, sums.handled_seconds += bin.handled_seconds;
+      sums.seconds += seconds(kBin);
     }
-    for (const auto& line : taught_[n]) {
-      if (line.failed > kNoise * line.attempts || line.attempts <= 0 || cold(n, line.from)) continue;
-      usual.own_handled += line.attempts, usual.own_seconds += seconds(line.to - line.from);
+    for (const auto& line : training_lines_[n]) {
+      if (line.failed > kNoiseFailureRatio * line.attempts || line.attempts <= 0 || is_cold(n, line.from))
+        continue;
+      sums.line_handled += line.attempts, sums.line_seconds += seconds(line.to - line.from);
       if (!line.util) continue;
-      usual.util += *line.util, usual.util_squares += *line.util * *line.util, usual.utils += 1;
+      sums.util += *line.util, sums.util_squares += *line.util * *line.util, sums.readings += 1;
     }
-    return usual;
+    return sums;
   }
 
-  // What an operation takes where nothing waits: a mean time holds waiting too, so that of the lines by their
-  // means, weighted by what they handled, the lower quarter's end stands for it.
-  double base_of(std::size_t n) const {
+  // Estimates the service time in seconds of an attempt that does not queue. Mean latencies include queueing,
+  // so the estimate is the lower quartile of the lines' mean latencies, weighted by their successful
+  // attempts.
+  double service_time_of(std::size_t n) const {
     std::vector<std::pair<double, double>> means;
-    double all = 0;
-    for (const auto& line : taught_[n]) {
+    double total_handled = 0;
+    for (const auto& line : training_lines_[n]) {
       const double handled = line.attempts - line.failed;
-      if (handled <= 0 || cold(n, line.from)) continue;
+      if (handled <= 0 || is_cold(n, line.from)) continue;
       means.emplace_back(line.handled_seconds / handled, handled);
-      all += handled;
+      total_handled += handled;
     }
     std::sort(means.begin(), means.end());
     double passed = 0;
     for (const auto& [mean, handled] : means) {
       passed += handled;
-      if (passed >= all / 4) return mean;
+      if (passed >= total_handled / 4) return mean;
     }
     return 0;
   }
 
-  // Cores as readings of the load tell them, over the replicas given, and how sure that is: one standard
-  // error.
+  // Estimated number of cores per replica, and the standard error of the estimate.
   struct Cores {
     double count = 0, error = 0;
   };
+  // Estimates the cores from the utilization readings of the given replicas; empty if there are too few
+  // readings.
   std::optional<Cores> cores_of(const std::vector<std::size_t>& replicas) const {
-    double in_work = 0, util = 0, squares = 0, readings = 0;
+    double in_service = 0, util = 0, squares = 0, readings = 0;
     for (const auto n : replicas) {
-      in_work += usual_[n].utils * usual_[n].seen_in_work(base_[n]);
-      util += usual_[n].util, squares += usual_[n].util_squares, readings += usual_[n].utils;
+      in_service += healthy_sums_[n].readings * healthy_sums_[n].in_service_at_reading(service_times_[n]);
+      util += healthy_sums_[n].util, squares += healthy_sums_[n].util_squares,
+          readings += healthy_sums_[n].readings;
     }
-    if (readings < kFewReadings || in_work <= 0 || util <= 0) return std::nullopt;
+    if (readings < kMinLoadReadings || in_service <= 0 || util <= 0) return std::nullopt;
     const double mean = util / readings, variance = std::max(0.0, squares / readings - mean * mean);
-    const double count = in_work / util;
+    const double count = in_service / util;
     return Cores{count, count * std::sqrt(variance / readings) / mean};
   }
 
-  // The narrower group's, where it differs from the wider one's by more than chance brings.
-  static std::optional<Cores> narrower(const std::optional<Cores>& wide, const std::optional<Cores>& narrow) {
+  // Returns the narrower group's estimate if it differs significantly from that of the wider group, else the
+  // wider group's.
+  static std::optional<Cores> choose_estimate(const std::optional<Cores>& wide,
+                                              const std::optional<Cores>& narrow) {
     if (!wide || !narrow) return narrow ? narrow : wide;
     const double error = std::hypot(wide->error, narrow->error);
-    return std::abs(wide->count - narrow->count) > kSurelyOther * error ? narrow : wide;
+    return std::abs(wide->count - narrow->count) > kSignificantErrors * error ? narrow : wide;
   }
 
-  double assumed(const Cores& cores) const {
+  // Returns a number of cores within one standard error of the estimate, by the assumption.
+  double assumed_cores(const Cores& cores) const {
     const double shift = assumption_ == Assumption::pessimistic  ? -cores.error
                          : assumption_ == Assumption::optimistic ? cores.error
                                                                  : 0;
-    return std::clamp(std::round(cores.count + shift), 1.0, kManyCores);
+    return std::clamp(std::round(cores.count + shift), 1.0, kMaxCores);
   }
 
-  // With fewer, operations would have waited longer than they did (Sakasegawa 1977, for many servers).
-  double fewest_cores(std::size_t n) const {
-    const double waited = std::max(kLeastWait * base_[n], usual_[n].mean() - base_[n]);
-    const double clumps = (1 + fleet_.variation * fleet_.variation) / 2;
+  // Returns the minimum number of cores that explains the measured queueing time. With fewer cores, attempts
+  // would have queued for longer (Sakasegawa 1977, approximation for many servers).
+  double min_cores(std::size_t n) const {
+    const double measured_queueing =
+        std::max(kMinQueueingRatio * service_times_[n], healthy_sums_[n].mean() - service_times_[n]);
+    const double variation_factor = (1 + fleet_.variation * fleet_.variation) / 2;
     double cores = 1;
-    for (; cores < kManyCores; ++cores) {
-      const double load = usual_[n].rate() * base_[n] / cores;
+    for (; cores < kMaxCores; ++cores) {
+      const double load = healthy_sums_[n].rate() * service_times_[n] / cores;
       if (load >= 1) continue;
-      const double waits =
-          base_[n] * clumps * std::pow(load, std::sqrt(2 * (cores + 1)) - 1) / (cores * (1 - load));
-      if (waits <= kWaitSlack * waited) break;
+      const double predicted_queueing = service_times_[n] * variation_factor *
+                                        std::pow(load, std::sqrt(2 * (cores + 1)) - 1) / (cores * (1 - load));
+      if (predicted_queueing <= kQueueingTolerance * measured_queueing) break;
     }
     return cores;
   }
 
-  // Its own figures where it was looked at often; else those of its kind together.
-  void fit_figures() {
+  // Fits the speed and the cores of each replica: from its own figures if it had enough attempts, else from
+  // the figures of all replicas of its hardware kind.
+  void fit_replicas() {
     std::map<HardwareKindId, std::vector<std::size_t>> by_kind;
-    std::vector<std::size_t> everybody;
-    std::vector<double> all;
-    std::map<HardwareKindId, std::vector<double>> like;
-    base_.assign(lines_.size(), 0);
+    std::vector<std::size_t> all_seen;
+    std::vector<double> all_times;
+    std::map<HardwareKindId, std::vector<double>> times_by_kind;
+    service_times_.assign(lines_.size(), 0);
     for (std::size_t n = 0; n < lines_.size(); ++n) {
-      usual_.push_back(usual_of(n));
+      healthy_sums_.push_back(healthy_sums_of(n));
       auto& replica = fleet_.replicas[n];
-      replica.seen = usual_[n].any();
+      replica.seen = healthy_sums_[n].any();
       if (!replica.seen) continue;
-      base_[n] = base_of(n);
+      service_times_[n] = service_time_of(n);
       by_kind[replica.kind].push_back(n);
-      everybody.push_back(n);
-      all.push_back(base_[n]);
-      like[replica.kind].push_back(base_[n]);
+      all_seen.push_back(n);
+      all_times.push_back(service_times_[n]);
+      times_by_kind[replica.kind].push_back(service_times_[n]);
     }
-    const auto fleet = cores_of(everybody);
+    const auto fleet = cores_of(all_seen);
     for (std::size_t n = 0; n < lines_.size(); ++n) {
       auto& replica = fleet_.replicas[n];
-      const auto cores = narrower(narrower(fleet, cores_of(by_kind[replica.kind])), cores_of({n}));
+      const auto cores =
+          choose_estimate(choose_estimate(fleet, cores_of(by_kind[replica.kind])), cores_of({n}));
       fleet_.cores_seen = fleet_.cores_seen || cores;
-      replica.cores = cores ? assumed(*cores) : cores_unseen(n);
-      if (replica.seen) replica.cores = std::max(replica.cores, fewest_cores(n));
+      replica.cores = cores ? assumed_cores(*cores) : cores_from_peak(n);
+      if (replica.seen) replica.cores = std::max(replica.cores, min_cores(n));
     }
     for (std::size_t n = 0; n < lines_.size(); ++n) {
       if (!fleet_.replicas[n].seen)
-        base_[n] = unknown_speed(like[fleet_.replicas[n].kind].empty() ? all : like[fleet_.replicas[n].kind]);
+        service_times_[n] = assumed_service_time(times_by_kind[fleet_.replicas[n].kind].empty()
+                                                     ? all_times
+                                                     : times_by_kind[fleet_.replicas[n].kind]);
     }
-    mean_ = all.empty() ? kFallbackWork
-                        : std::accumulate(all.begin(), all.end(), 0.0) / static_cast<double>(all.size());
-    for (std::size_t n = 0; n < lines_.size(); ++n) fleet_.replicas[n].slowness = base_[n] / mean_;
+    mean_service_time_ = all_times.empty() ? kFallbackWork
+                                           : std::accumulate(all_times.begin(), all_times.end(), 0.0) /
+                                                 static_cast<double>(all_times.size());
+    for (std::size_t n = 0; n < lines_.size(); ++n)
+      fleet_.replicas[n].slowness = service_times_[n] / mean_service_time_;
   }
 
-  // Nobody said how busy it was: it had at least as many as it ever used.
-  double cores_unseen(std::size_t n) const {
-    double most = 1;
-    for (const auto& bin : evidence_[n]) most = std::max(most, bin.handled_seconds / seconds(kBin));
-    return assumption_ == Assumption::pessimistic  ? most
-           : assumption_ == Assumption::optimistic ? 4 * most
-                                                   : 2 * most;
+  // Estimates the cores of a replica without utilization readings. The replica has at least as many cores as
+  // were ever in use at the same time.
+  double cores_from_peak(std::size_t n) const {
+    double peak = 1;
+    for (const auto& bin : evidence_[n]) peak = std::max(peak, bin.handled_seconds / seconds(kBin));
+    return assumption_ == Assumption::pessimistic  ? peak
+           : assumption_ == Assumption::optimistic ? 4 * peak
+                                                   : 2 * peak;
   }
 
-  double unknown_speed(const std::vector<double>& like) const {
-    if (like.empty()) return mean_;
+  // Returns a service time for a replica that has no measured one, from the times of similar replicas.
+  double assumed_service_time(const std::vector<double>& similar) const {
+    if (similar.empty()) return mean_service_time_;
     switch (assumption_) {
       case Assumption::optimistic:
-        return *std::min_element(like.begin(), like.end());
+        return *std::min_element(similar.begin(), similar.end());
       case Assumption::pessimistic:
-        return *std::max_element(like.begin(), like.end());
+        return *std::max_element(similar.begin(), similar.end());
       case Assumption::middle:
         break;
     }
-    return std::accumulate(like.begin(), like.end(), 0.0) / static_cast<double>(like.size());
+    return std::accumulate(similar.begin(), similar.end(), 0.0) / static_cast<double>(similar.size());
   }
 
-  // By class: least squares over the reports, drawn towards one work for all, which the record tells better
-  // than how classes differ.
+  // Fits the service time of each class by least squares over the reports. Ridge regularization pulls the
+  // classes towards a common service time, which the record determines better than the differences between
+  // classes.
   void fit_work() {
     const auto classes = deployment_.classes.size();
     std::vector<std::vector<double>> square(classes, std::vector<double>(classes));
@@ -312,49 +358,52 @@
     double operations = 0;
     for (std::size_t r = 0; r < history_.reports.size(); ++r) {
       const auto& report = history_.reports[r];
-      if (!take_.empty() && !take_[r]) continue;
-      double handled = 0, took = 0;
-      for (const auto& met : report.replica_lines) {
-        const auto n = static_cast<std::size_t>(met.replica);
-        const double count = met.attempts - met.failed;
-        const double mean = seconds(met.mean_latency);
-        if (count <= 0 || cold(n, report.from) || mean > kWaited * base_[n]) continue;
+      if (!training_reports_.empty() && !training_reports_[r]) continue;
+      double handled = 0, total_seconds = 0;
+      for (const auto& line : report.replica_lines) {
+        const auto n = static_cast<std::size_t>(line.replica);
+        const double count = line.attempts - line.failed;
+        const double mean = seconds(line.mean_latency);
+        if (count <= 0 || is_cold(n, report.from) || mean > kQueueingLatencyFactor * service_times_[n])
+          continue;
         handled += count;
-        took += count * mean / fleet_.replicas[n].slowness;
+        total_seconds += count * mean / fleet_.replicas[n].slowness;
       }
-      double asked = 0;
-      for (const auto& of : report.demand_lines)
-        asked += of.operations - std::min(of.operations, of.unanswered);
-      if (handled <= 0 || asked <= 0) continue;
+      double answered = 0;
+      for (const auto& line : report.demand_lines)
+        answered += line.operations - std::min(line.operations, line.unanswered);
+      if (handled <= 0 || answered <= 0) continue;
       std::vector<double> shares(classes);
-      for (const auto& of : report.demand_lines)
-        shares[static_cast<std::size_t>(of.cls)] +=
-            (of.operations - std::min(of.operations, of.unanswered)) / asked;
+      for (const auto& line : report.demand_lines)
+        shares[static_cast<std::size_t>(line.cls)] +=
+            (line.operations - std::min(line.operations, line.unanswered)) / answered;
       operations += handled;
       for (std::size_t a = 0; a < classes; ++a) {
         mix[a] += handled * shares[a];
-        right[a] += handled * shares[a] * (took / handled - mean_);
+        right[a] += handled * shares[a] * (total_seconds / handled - mean_service_time_);
         for (std::size_t b = 0; b < classes; ++b) square[a][b] += handled * shares[a] * shares[b];
       }
     }
     const double ridge = 0.05 * operations + 1;
     for (std::size_t a = 0; a < classes; ++a) square[a][a] += ridge;
     fleet_.work = solve(std::move(square), std::move(right));
-    for (auto& work : fleet_.work) work = std::max(work + mean_, mean_ / 4);
-    // Some of that was waiting still: only how classes differ is taken from here.
-    double together = 0;
-    for (std::size_t k = 0; k < classes; ++k) together += mix[k] / std::max(1.0, operations) * fleet_.work[k];
-    for (auto& work : fleet_.work) work *= together > 0 ? mean_ / together : 1;
+    for (auto& work : fleet_.work) work = std::max(work + mean_service_time_, mean_service_time_ / 4);
+    // The fitted times still include queueing, so only their ratios are used: they are scaled to the mean.
+    double mixed_mean = 0;
+    for (std::size_t k = 0; k < classes; ++k)
+      mixed_mean += mix[k] / std::max(1.0, operations) * fleet_.work[k];
+    for (auto& work : fleet_.work) work *= mixed_mean > 0 ? mean_service_time_ / mixed_mean : 1;
   }
 
-  // Gauss; the ridge keeps it well posed.
+  // Solves a system of linear equations by Gaussian elimination without pivoting. The ridge term on the
+  // diagonal keeps the system well-conditioned.
   static std::vector<double> solve(std::vector<std::vector<double>> square, std::vector<double> right) {
     const auto size = right.size();
     for (std::size_t k = 0; k < size; ++k) {
       for (std::size_t row = k + 1; row < size; ++row) {
-        const double times = square[row][k] / square[k][k];
-        for (std::size_t col = k; col < size; ++col) square[row][col] -= times * square[k][col];
-        right[row] -= times * right[k];
+        const double factor = square[row][k] / square[k][k];
+        for (std::size_t col = k; col < size; ++col) square[row][col] -= factor * square[k][col];
+        right[row] -= factor * right[k];
       }
     }
     for (std::size_t k = size; k-- > 0;) {
@@ -364,21 +413,22 @@
     return right;
   }
 
-  void fit_cold() {
+  // Fits the capacity at the start of the warm-up from the latencies of replicas that were warming up.
+  void fit_warm_up() {
     const auto& settings = deployment_.settings;
     fleet_.warm_up_duration = settings.warm_up_duration;
     double sum = 0, weight = 0;
     for (std::size_t n = 0; n < lines_.size(); ++n) {
-      for (const auto& line : taught_[n]) {
+      for (const auto& line : training_lines_[n]) {
         const double handled = line.attempts - line.failed;
         const Nanos middle = (line.from + line.to) / 2;
-        if (handled <= 0 || line.handled_seconds <= 0 || !cold(n, middle)) continue;
+        if (handled <= 0 || line.handled_seconds <= 0 || !is_cold(n, middle)) continue;
         for (const auto& listed : listed_[n]) {
           if (!listed.covers(middle) || !listed.started) continue;
           const double age =
               std::clamp(seconds(middle - *listed.started) / seconds(settings.warm_up_duration), 0.0, 1.0);
-          const double warmth = base_[n] / (line.handled_seconds / handled);
-          sum += handled * (1 - age) * (warmth - age);
+          const double capacity = service_times_[n] / (line.handled_seconds / handled);
+          sum += handled * (1 - age) * (capacity - age);
           weight += handled * (1 - age) * (1 - age);
         }
       }
@@ -388,204 +438,224 @@
         fleet_.cold_seen ? std::clamp(sum / weight, 0.05, 1.0) : settings.initial_warm_up_capacity;
   }
 
-  // How failed tries and unanswered operations go together, and both with operations that come again.
+  // Fits how many failed attempts did not run, and how often clients repeat unanswered requests, from the
+  // correlation of failed attempts, unanswered requests and all requests.
   void fit_clients() {
     const auto classes = deployment_.classes.size();
     const auto bins = static_cast<std::size_t>(history_.length / 1s) + 1;
     std::vector<double> failed(bins), unanswered(bins);
-    std::vector<std::vector<double>> asked(classes, std::vector<double>(bins)), lost = asked;
+    std::vector<std::vector<double>> class_requests(classes, std::vector<double>(bins)),
+        class_unanswered = class_requests;
     for (const auto& report : history_.reports) {
       const auto bin = static_cast<std::size_t>(std::max(report.to - 1ns, Nanos{}) / 1s);
       if (bin >= bins) continue;
-      for (const auto& met : report.replica_lines) failed[bin] += met.failed;
-      for (const auto& of : report.demand_lines) {
-        const auto k = static_cast<std::size_t>(of.cls);
-        asked[k][bin] += of.operations;
-        lost[k][bin] += of.unanswered;
-        unanswered[bin] += of.unanswered;
+      for (const auto& line : report.replica_lines) failed[bin] += line.failed;
+      for (const auto& line : report.demand_lines) {
+        const auto k = static_cast<std::size_t>(line.cls);
+        class_requests[k][bin] += line.operations;
+        class_unanswered[k][bin] += line.unanswered;
+        unanswered[bin] += line.unanswered;
       }
     }
-    // Where tries fail and operations are answered all the same, the tries never ran. Over three seconds, as
-    // an operation may end in another report than its try.
-    never_ran_.assign(bins, 0);
+    // Failed attempts whose requests were answered nevertheless did not run. The ratio is taken over three
+    // seconds, as a request may end in a later report than its attempt.
+    not_run_ratios_.assign(bins, 0);
     for (std::size_t bin = 0; bin < bins; ++bin) {
-      double failures = 0, unmet = 0;
+      double failed_sum = 0, unanswered_sum = 0;
       for (std::size_t b = bin > 0 ? bin - 1 : 0; b < std::min(bins, bin + 2); ++b)
-        failures += failed[b], unmet += unanswered[b];
-      never_ran_[bin] = failures > 0 ? std::clamp(1 - unmet / failures, 0.0, 1.0) : 0;
+        failed_sum += failed[b], unanswered_sum += unanswered[b];
+      not_run_ratios_[bin] = failed_sum > 0 ? std::clamp(1 - unanswered_sum / failed_sum, 0.0, 1.0) : 0;
     }
     fleet_.repeats.assign(classes, 0);
     for (std::size_t k = 0; k < classes; ++k) {
-      const double mean_asked =
-          std::accumulate(asked[k].begin(), asked[k].end(), 0.0) / static_cast<double>(bins);
-      const double mean_lost =
-          std::accumulate(lost[k].begin(), lost[k].end(), 0.0) / static_cast<double>(bins);
-      double both = 0, own = 0;
+      const double mean_requests = std::accumulate(class_requests[k].begin(), class_requests[k].end(), 0.0) /
+                                   static_cast<double>(bins);
+      const double mean_unanswered =
+          std::accumulate(class_unanswered[k].begin(), class_unanswered[k].end(), 0.0) /
+          static_cast<double>(bins);
+      double covariance = 0, variance = 0;
       for (std::size_t bin = 0; bin < bins; ++bin) {
-        both += (asked[k][bin] - mean_asked) * (lost[k][bin] - mean_lost);
-        own += (lost[k][bin] - mean_lost) * (lost[k][bin] - mean_lost);
+        covariance += (class_requests[k][bin] - mean_requests) * (class_unanswered[k][bin] - mean_unanswered);
+        variance +=
+            (class_unanswered[k][bin] - mean_unanswered) * (class_unanswered[k][bin] - mean_unanswered);
       }
-      // Too few failures tell nothing of what clients do after them.
-      if (own > mean_asked) fleet_.repeats[k] = std::clamp(both / own, 0.0, kMostRepeats);
+      // Too few unanswered requests do not show how often clients repeat them.
+      if (variance > mean_requests)
+        fleet_.repeats[k] = std::clamp(covariance / variance, 0.0, kMaxRepeatProbability);
     }
   }
 
-  // What comes of load the model brings about by itself; only the rest is trouble.
-  bool loaded(std::size_t n, const Evidence& bin) const {
-    return bin.attempts * base_[n] / seconds(kBin) > kRoom * fleet_.replicas[n].cores;
+  // Returns whether the bin's load may explain failures and latency. The simulation produces the effects of
+  // load by itself, so only the remaining failures and slowness become spells.
+  bool is_loaded(std::size_t n, const Evidence& bin) const {
+    return bin.attempts * service_times_[n] / seconds(kBin) >
+           kMaxUnloadedUtilization * fleet_.replicas[n].cores;
   }
 
-  double fault_slowdown(std::size_t n, const Evidence& bin, Nanos at) const {
-    if (bin.handled < 0.2 || cold(n, at) || loaded(n, bin)) return 1;
+  // Returns the factor on the service time that is due to a fault; 1 if there is none.
+  double fault_slowdown(std::size_t n, const Evidence& bin, Nanos time) const {
+    if (bin.handled < 0.2 || is_cold(n, time) || is_loaded(n, bin)) return 1;
     const double mean = bin.handled_seconds / bin.handled;
-    return mean > kSlow * base_[n] ? mean / base_[n] : 1;
+    return mean > kSlowLatencyFactor * service_times_[n] ? mean / service_times_[n] : 1;
   }
 
-  double fault_failure_ratio(std::size_t n, const Evidence& bin, Nanos at) const {
-    if (bin.failure_ratio < kNoise) return 0;
-    const bool by_itself = bin.failure_ratio < kFull && (loaded(n, bin) || cold(n, at));
-    return by_itself ? 0 : bin.failure_ratio;
+  // Returns the failure ratio that is due to a fault; 0 if there is none.
+  double fault_failure_ratio(std::size_t n, const Evidence& bin, Nanos time) const {
+    if (bin.failure_ratio < kNoiseFailureRatio) return 0;
+    const bool explained =
+        bin.failure_ratio < kMaxLoadFailureRatio && (is_loaded(n, bin) || is_cold(n, time));
+    return explained ? 0 : bin.failure_ratio;
   }
 
-  // What the list says of a whole stretch: it was ready through it, and one process.
-  bool one_life(std::size_t n, Nanos from, Nanos to) const {
+  // Returns whether the endpoint list had the replica ready, with the same process, from `from` to `to`.
+  bool ready_throughout(std::size_t n, Nanos from, Nanos to) const {
     return std::any_of(listed_[n].begin(), listed_[n].end(),
                        [&](const Listed& listed) { return listed.from <= from && to <= listed.to; });
   }
 
-  // Each bin that tells of a trouble, and what lies between looks: there the record says nothing.
+  // Finds the replica's fault spells: bins that show a fault, and gaps without attempts next to such bins.
+  // For gaps, the assumption decides, as the record has no evidence for them.
   void fit_spells(std::size_t n) {
     auto& spells = fleet_.replicas[n].spells;
     const auto& bins = evidence_[n];
-    const auto time_of = [](std::size_t bin) { return static_cast<Nanos::rep>(bin) * kBin; };
+    const auto start_time_of = [](std::size_t bin) { return static_cast<Nanos::rep>(bin) * kBin; };
     std::optional<std::size_t> last;
-    double last_fails = 0, unseen = 0, hangs = 0;
-    const auto add = [&](Nanos from, Nanos to, double fails, double slow) {
-      const auto second = std::min(never_ran_.size() - 1, static_cast<std::size_t>(from / 1s));
-      add_spell(spells, {from, to, fails, slow, never_ran_[second], hangs});
+    double last_ratio = 0, unseen = 0, hang_ratio = 0;
+    const auto add = [&](Nanos from, Nanos to, double failure_ratio, double slowdown) {
+      const auto second = std::min(not_run_ratios_.size() - 1, static_cast<std::size_t>(from / 1s));
+      add_spell(spells, {from, to, failure_ratio, slowdown, not_run_ratios_[second], hang_ratio});
     };
     for (std::size_t b = 0; b < bins.size(); ++b) {
       if (!bins[b].any()) continue;
-      const double fails = fault_failure_ratio(n, bins[b], time_of(b));
+      const double ratio = this->fault_failure_ratio(n, bins[b], start_time_of(b));
       if (last) {
-        const Nanos from = time_of(*last + 1), to = time_of(b);
-        if (to - from >= kShort && one_life(n, from, to) && (last_fails >= kIll || fails >= kIll)) {
+        const Nanos from = start_time_of(*last + 1), to = start_time_of(b);
+        if (to - from >= kMinGap && ready_throughout(n, from, to) &&
+            (last_ratio >= kMinFaultFailureRatio || ratio >= kMinFaultFailureRatio)) {
           unseen += seconds(to - from);
-          fill(from, to, last_fails, fails, add);
-        } else if (to > from && last_fails > 0 && fails > 0) {
-          add(from, to, (last_fails + fails) / 2, 1);
+          fill_gap(from, to, last_ratio, ratio, add);
+        } else if (to > from && last_ratio > 0 && ratio > 0) {
+          add(from, to, (last_ratio + ratio) / 2, 1);
         }
       }
-      const double slow = fault_slowdown(n, bins[b], time_of(b));
-      if (fails >= kIll && last_fails < kIll) hangs = hung(n, b);
-      if (fails > 0 || slow > 1) add(time_of(b), time_of(b + 1), fails, slow);
+      const double slowdown = fault_slowdown(n, bins[b], start_time_of(b));
+      if (ratio >= kMinFaultFailureRatio && last_ratio < kMinFaultFailureRatio)
+        hang_ratio = estimate_hang_ratio(n, b);
+      if (ratio > 0 || slowdown > 1) add(start_time_of(b), start_time_of(b + 1), ratio, slowdown);
       last = b;
-      last_fails = fails;
+      last_ratio = ratio;
     }
-    // Nobody looked again after the last failure.
-    if (last && last_fails >= kIll) {
-      const Nanos from = time_of(*last + 1);
+    // The replica received no attempts after its last failure.
+    if (last && last_ratio >= kMinFaultFailureRatio) {
+      const Nanos from = start_time_of(*last + 1);
       for (const auto& listed : listed_[n]) {
         if (!listed.covers(from)) continue;
         unseen += seconds(listed.to - from);
-        fill(from, listed.to, last_fails, 0, add);
+        fill_gap(from, listed.to, last_ratio, 0, add);
       }
     }
-    shift(spells);
+    shift_starts(spells);
     fleet_.unseen += unseen / std::max(1e-9, seconds(history_.length) * static_cast<double>(lines_.size()));
   }
 
-  // Goes on from the last one where they are alike.
+  // Appends the spell, or extends the last spell if the new one follows it directly and is similar.
   static void add_spell(std::vector<Spell>& spells, const Spell& spell) {
     if (spell.from >= spell.to) return;
-    const auto alike = [](double a, double b) { return std::abs(a - b) <= 0.1 * std::max(a, b); };
+    const auto similar = [](double left, double right) {
+      return std::abs(left - right) <= 0.1 * std::max(left, right);
+    };
     if (!spells.empty() && spells.back().to == spell.from &&
-        alike(spells.back().failure_ratio, spell.failure_ratio) &&
-        alike(spells.back().slowdown, spell.slowdown) &&
-        alike(spells.back().not_run_ratio, spell.not_run_ratio)) {
+        similar(spells.back().failure_ratio, spell.failure_ratio) &&
+        similar(spells.back().slowdown, spell.slowdown) &&
+        similar(spells.back().not_run_ratio, spell.not_run_ratio)) {
       spells.back().to = spell.to;
     } else {
       spells.push_back(spell);
     }
   }
 
-  // How long a try is waited for, over the classes.
-  Nanos patience() const {
-    Nanos patience{};
-    for (const auto& cls : deployment_.settings.classes) patience += cls.latency_objective;
-    return patience / static_cast<Nanos::rep>(std::max<std::size_t>(1, deployment_.settings.classes.size()));
+  // Returns the mean attempt timeout of the classes.
+  Nanos attempt_timeout() const {
+    Nanos sum{};
+    for (const auto& cls : deployment_.settings.classes) sum += cls.latency_objective;
+    return sum / static_cast<Nanos::rep>(std::max<std::size_t>(1, deployment_.settings.classes.size()));
   }
 
-  // Tries that hang are counted when they are given up on, so that there is a hole before the first: how deep
-  // it is tells hanging from failing at once. `begins`: the first bin with failures.
-  double hung(std::size_t n, std::size_t begins) const {
+  // Estimates which share of the failed attempts hung. An attempt that hangs is counted at its timeout, so
+  // there is a gap in the attempts before the first counted failure; attempts that fail at once leave no gap.
+  // `first_failure` is the first bin with failures.
+  double estimate_hang_ratio(std::size_t n, std::size_t first_failure) const {
     if (assumption_ != Assumption::middle) return assumption_ == Assumption::pessimistic ? 1 : 0;
-    if (!usual_[n].any()) return 0.5;
+    if (!healthy_sums_[n].any()) return 0.5;
     const auto& bins = evidence_[n];
-    const auto hole = std::max<std::size_t>(1, static_cast<std::size_t>(patience() / kBin));
-    const auto blur = static_cast<std::size_t>(deployment_.settings.report_interval / kBin);
-    const double expected = usual_[n].rate() * seconds(kBin) * static_cast<double>(hole);
-    // Lines blur the hole by their span.
-    double emptiest = 1;
-    for (auto from = begins - std::min(begins, hole + blur);
-         from + hole <= std::min(bins.size(), begins + blur); ++from) {
+    const auto gap_bins = std::max<std::size_t>(1, static_cast<std::size_t>(attempt_timeout() / kBin));
+    const auto report_bins = static_cast<std::size_t>(deployment_.settings.report_interval / kBin);
+    const double expected = healthy_sums_[n].rate() * seconds(kBin) * static_cast<double>(gap_bins);
+    // The position of the gap is uncertain by the span of a report, so the emptiest window of that range
+    // counts.
+    double lowest_ratio = 1;
+    for (auto from = first_failure - std::min(first_failure, gap_bins + report_bins);
+         from + gap_bins <= std::min(bins.size(), first_failure + report_bins); ++from) {
       double attempts = 0;
-      for (auto b = from; b < from + hole; ++b) attempts += bins[b].attempts;
-      emptiest = std::min(emptiest, attempts / expected);
+      for (auto b = from; b < from + gap_bins; ++b) attempts += bins[b].attempts;
+      lowest_ratio = std::min(lowest_ratio, attempts / expected);
     }
-    return std::clamp((kWhole - emptiest) / (kWhole - kHollow), 0.0, 1.0);
+    return std::clamp((kImmediateFailureGap - lowest_ratio) / (kImmediateFailureGap - kHangGap), 0.0, 1.0);
   }
 
-  // What befell a try that hung began so much before it was counted.
-  void shift(std::vector<Spell>& spells) const {
+  // Moves the start of failure spells back by the timeout of hanging attempts, which are counted at their
+  // timeout.
+  void shift_starts(std::vector<Spell>& spells) const {
     for (auto& spell : spells) {
-      if (spell.failure_ratio < kIll) continue;
-      const double hung = spell.hang_ratio * (1 - spell.not_run_ratio);
-      spell.from -= Nanos(std::llround(hung * static_cast<double>(patience().count())));
+      if (spell.failure_ratio < kMinFaultFailureRatio) continue;
+      const double hung_share = spell.hang_ratio * (1 - spell.not_run_ratio);
+      spell.from -= Nanos(std::llround(hung_share * static_cast<double>(attempt_timeout().count())));
     }
     for (std::size_t n = 1; n < spells.size(); ++n)
       spells[n - 1].to = std::min(spells[n - 1].to, std::max(spells[n - 1].from, spells[n].from));
   }
 
-  // Between two looks of which one told of failures: over at once, just before the next look, or half way.
+  // Adds spells for a gap without attempts of which one neighbouring bin, or both, show failures. If only one
+  // does, the failures cover none of the gap (optimistic), half of it (middle) or all of it (pessimistic).
   template <typename Add>
-  void fill(Nanos from, Nanos to, double before, double after, Add add) const {
+  void fill_gap(Nanos from, Nanos to, double before, double after, Add add) const {
     if (assumption_ == Assumption::optimistic) return;
     const Nanos middle = from + (to - from) / 2;
-    if (before >= kIll && after >= kIll) {
+    if (before >= kMinFaultFailureRatio && after >= kMinFaultFailureRatio) {
       add(from, to, (before + after) / 2, 1);
-    } else if (before >= kIll) {
+    } else if (before >= kMinFaultFailureRatio) {
       add(from, assumption_ == Assumption::pessimistic ? to : middle, before, 1);
     } else {
       add(assumption_ == Assumption::pessimistic ? from : middle, to, after, 1);
     }
   }
 
-  void fit_pushes() {
-    std::vector<double> took;
-    for (const auto& applied : history_.applied) took.push_back(seconds(applied.took));
-    fleet_.push_time = Nanos(std::llround(std::clamp(median(std::move(took)), 0.01, 10.0) * 1e9));
+  void fit_push_time() {
+    std::vector<double> durations;
+    for (const auto& applied : history_.applied) durations.push_back(seconds(applied.took));
+    fleet_.push_time = Nanos(std::llround(std::clamp(median(std::move(durations)), 0.01, 10.0) * 1e9));
   }
 
   const History& history_;
   const Deployment& deployment_;
   const Assumption assumption_;
-  const std::vector<bool>& take_;
+  const std::vector<bool>& training_reports_;
   Fleet fleet_;
   std::vector<std::vector<Listed>> listed_;
-  std::vector<std::vector<ReplicaReport>> lines_, taught_;
+  std::vector<std::vector<ReplicaReport>> lines_, training_lines_;
   std::vector<std::vector<Evidence>> evidence_;
-  std::vector<double> never_ran_;  // of the fleet's failed tries, by second
-  std::vector<Usual> usual_;
-  std::vector<double> base_;  // seconds an operation takes, by replica
-  double mean_ = kFallbackWork;
+  std::vector<double> not_run_ratios_;  // by second: share of the fleet's failed attempts that did not run
+  std::vector<HealthySums> healthy_sums_;
+  std::vector<double> service_times_;  // by replica: service time of an attempt in seconds
+  double mean_service_time_ =
+      kFallbackWork;  // service time in seconds, mean over the replicas with measured times
 };
 
 }  // namespace
 
 Fleet fit(const History& history, const Deployment& deployment, Assumption assumption,
-          const std::vector<bool>& take) {
-  return Fitting(history, deployment, assumption, take).fit();
+          const std::vector<bool>& training_reports) {
+  return Fitting(history, deployment, assumption, training_reports).fit();
 }
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/fleet.h
+++ b/src/simulation/fleet.h
@@ -1,5 +1,5 @@
-// A model of the fleet that a record tells of: what its replicas can do and what befell them, and how its
-// clients behave. Pure.
+// A model of the recorded fleet: the capacity of its replicas, their faults, and how its clients retry.
+// Fitting has no side effects.
 #pragma once
 
 #include <string>
@@ -12,52 +12,54 @@
 
 namespace ospreypost::simulation {
 
-// What another configuration says, as far as a played day needs it.
+// The parts of a configuration that a simulated run needs.
 struct Deployment {
   Settings settings;
   std::uint64_t seed = 1;
   std::vector<std::string> proxies, classes, zones;  // by id
-  std::vector<bool> pushed;                          // by proxy: gets its tables without asking
+  std::vector<bool> pushed;                          // by proxy: the control plane pushes tables to the proxy
   dns::ClientTtlLimits lifetimes;
   checker::Limits limits;
 };
 
-// What the record cannot tell is assumed to have gone well, ill, or half of each.
+// What is assumed about events that the record leaves open: they went well, badly, or half way between.
 enum class Assumption { optimistic, middle, pessimistic };
 
-// A replica fails, or is slow, for some time.
+// A period in which a replica fails attempts or is slow.
 struct Spell {
   Nanos from{}, to{};
-  double failure_ratio = 0;  // share of its tries
-  double slowdown = 1;       // times as long
-  double not_run_ratio = 0;  // share of the failed tries that did no work and may be tried again
-  double hang_ratio = 0;     // share of the other failed tries that are given up on, not answered
+  double failure_ratio = 0;  // failed attempts per attempt
+  double slowdown = 1;       // factor on the service time
+  double not_run_ratio = 0;  // share of the failed attempts that did no work and may be retried
+  double hang_ratio = 0;     // share of the other failed attempts that end by timeout, without an answer
 };
 
 struct ReplicaModel {
   ZoneId zone{};
   HardwareKindId kind{};
-  double slowness = 1;  // of what an operation takes on the average replica
-  double cores = 1;     // operations in work at a time
-  bool seen = false;    // its own figures; else those of its kind
+  double slowness = 1;  // service time relative to the average replica
+  double cores = 1;     // number of attempts served at the same time
+  bool seen = false;    // whether the replica's own figures were measured; else those of its kind are used
   std::vector<Spell> spells;
 };
 
 struct Fleet {
   std::vector<ReplicaModel> replicas;  // by the record's ids
-  std::vector<double> work;            // seconds, by class, on the average replica
-  double variation = 0;                // of that, as a share: standard deviation; sums do not tell it
+  std::vector<double> work;            // by class: service time in seconds on the average replica
+  double variation =
+      0;  // relative standard deviation of the service time; assumed, as reports hold only sums
   double initial_warm_up_capacity = 1;
   Nanos warm_up_duration{};
-  std::vector<double> repeats;  // by class: how often a client comes again after a failure, 0 to 0.95
-  Nanos push_time{};            // until a proxy that is pushed to goes by it
-  bool cores_seen = false, cold_seen = false;
-  double unseen = 0;  // share of all replicas' listed time in which nobody tried them and it matters
+  std::vector<double> repeats;  // by class: probability that a client repeats a failed request, 0 to 0.95
+  Nanos push_time{};            // delay until a proxy applies a table that is pushed to it
+  bool cores_seen = false, cold_seen = false;  // whether reports showed the cores, and the warm-up
+  double unseen = 0;  // share of all replicas' listed time without attempts, next to a failure
 };
 
-// Throws std::invalid_argument if the two do not go together (whatif/check.h). `take` says which reports may
-// teach it the standing figures (work, speed, cores, repeats); what befell the replicas is read from all.
+// Throws std::invalid_argument if history and deployment do not fit together (simulation/history_check.h).
+// `training_reports` selects the reports (by index; empty: all) from which the steady figures are fitted:
+// work, speed, cores and warm-up. Faults and repeats are always fitted from all reports.
 Fleet fit(const History& history, const Deployment& deployment, Assumption assumption,
-          const std::vector<bool>& take = {});
+          const std::vector<bool>& training_reports = {});
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/history.h
+++ b/src/simulation/history.h
@@ -1,5 +1,5 @@
-// A recorded day, as far as it tells of the fleet: what came to the governor, in times of one clock that
-// starts with the record. What the governor ordered is not here.
+// The part of a recorded run that describes the fleet: the events that the control plane received, with times
+// on one clock that starts with the record. The actions of the controller are not included.
 #pragma once
 
 #include <map>
@@ -10,21 +10,22 @@
 
 namespace ospreypost::simulation {
 
-// What a proxy met at one replica over a report's span.
+// Results of one proxy's attempts at one replica over the span of a report.
 struct ReplicaLine {
   ReplicaId replica{};
   std::uint32_t attempts = 0, failed = 0;
-  Nanos mean_latency{};  // of the handled ones
+  Nanos mean_latency{};  // of the successful attempts
   std::vector<float> load;
 };
 
+// Requests of one class that a proxy received over the span of a report.
 struct DemandLine {
   ClassId cls{};
   std::uint32_t operations = 0, unanswered = 0;
 };
 
-// One report of one proxy, over the span from `from` to `to`; times of the sender's clock are brought to ours
-// by the shortest way that was seen.
+// One report of one proxy, over the span from `from` to `to`. Times of the proxy's clock are converted to the
+// record's clock by the shortest transit time that was observed.
 struct Report {
   ProxyId proxy{};
   Nanos from{}, to{}, arrived{};
@@ -33,7 +34,7 @@
   double seconds() const { return std::chrono::duration<double>(to - from).count(); }
 };
 
-// News of the list; `entries` is empty where it could not be read.
+// One update of the endpoint list; `entries` is empty if the list could not be read.
 struct ListEvent {
   Nanos at{};
   EndpointListKind kind = EndpointListKind::changes;
@@ -41,6 +42,7 @@
   std::vector<EndpointUpdate> entries;
 };
 
+// A proxy joined or left.
 struct Membership {
   Nanos at{};
   ProxyId proxy{};
@@ -61,25 +63,27 @@
   std::string message;
 };
 
-// From a governor's start to the last thing it was told.
+// One run of a control plane instance, from its start to the last event that it received.
 struct Incarnation {
   Nanos from{}, to{};
 };
 
 struct History {
-  std::string configuration;  // of the first life
+  std::string configuration;  // of the first incarnation
   Nanos length{};
   std::vector<Incarnation> lives;
-  std::vector<Report> reports;  // by arrival
+  std::vector<Report> reports;  // by time of arrival
   std::vector<ListEvent> lists;
   std::vector<Membership> memberships;
   std::vector<Acknowledgement> applied;
   std::vector<PeerMessage> peers;
-  // One id for each name through all lives, whatever number each life gave it.
+  // Replica names by id. A name keeps one id over all incarnations, although each incarnation numbered the
+  // replicas anew.
   std::vector<std::string> replicas;
-  // Reports whose proxy and delay the record does not tell (schema 1): attributed by their order.
+  // Number of report lines for which the record has neither proxy nor delay (schema 1); their order decides
+  // which report they belong to.
   std::uint64_t guessed = 0;
-  // Calls that were not kept, and stretches that are damaged.
+  // Number of events that the record did not keep, and number of corrupt regions of its files.
   std::uint64_t lost = 0, damaged = 0;
 };
 
--- a/src/simulation/history_check.cpp
+++ b/src/simulation/history_check.cpp
@@ -7,35 +7,37 @@
 namespace ospreypost::simulation {
 namespace {
 
-void need(bool holds, const char* otherwise) {
-  if (!holds) throw std::invalid_argument(otherwise);
+void require(bool condition, const char* message) {
+  if (!condition) throw std::invalid_argument(message);
 }
 
-constexpr const char* kTooLong = "the record is too long to be asked about: cut a stretch of it";
-constexpr const char* kForeign = "the record names proxies, classes or zones that the setting has not";
+constexpr const char* kTooLong = "the record is too long to be simulated: cut a stretch of it";
+constexpr const char* kUnknownNames =
+    "the record names proxies, classes or zones that the configuration does not have";
 
 }  // namespace
 
 void check_history(const History& history, const Deployment& deployment) {
-  need(history.length <= kLongestRecord &&
-           static_cast<std::size_t>(history.length / kBin + 1) <= kMostBins / (history.replicas.size() + 1),
-       kTooLong);
+  require(history.length <= kMaxRecordLength &&
+              static_cast<std::size_t>(history.length / kBin + 1) <= kMaxBins / (history.replicas.size() + 1),
+          kTooLong);
   const auto known_proxy = [&](ProxyId id) {
     return static_cast<std::size_t>(id) < deployment.proxies.size();
   };
   const auto known_zone = [&](ZoneId id) { return static_cast<std::size_t>(id) < deployment.zones.size(); };
   std::uint64_t operations = 0;
   for (const auto& report : history.reports) {
-    need(known_proxy(report.proxy), kForeign);
-    for (const auto& asked : report.demand_lines) {
-      need(static_cast<std::size_t>(asked.cls) < deployment.classes.size(), kForeign);
-      operations += asked.operations;
+    require(known_proxy(report.proxy), kUnknownNames);
+    for (const auto& line : report.demand_lines) {
+      require(static_cast<std::size_t>(line.cls) < deployment.classes.size(), kUnknownNames);
+      operations += line.operations;
     }
   }
-  need(operations <= kMostOperations, kTooLong);
-  for (const auto& of : history.memberships) need(known_proxy(of.proxy) && known_zone(of.zone), kForeign);
-  for (const auto& news : history.lists) {
-    for (const auto& entry : news.entries) need(known_zone(entry.zone), kForeign);
+  require(operations <= kMaxOperations, kTooLong);
+  for (const auto& membership : history.memberships)
+    require(known_proxy(membership.proxy) && known_zone(membership.zone), kUnknownNames);
+  for (const auto& list : history.lists) {
+    for (const auto& entry : list.entries) require(known_zone(entry.zone), kUnknownNames);
   }
 }
 
--- a/src/simulation/history_check.h
+++ b/src/simulation/history_check.h
@@ -1,17 +1,18 @@
-// Whether a record can be asked about with a deployment. Pure.
+// Checks that a record can be simulated with a deployment. The check has no side effects.
 #pragma once
 
 #include "simulation/fleet.h"
 
 namespace ospreypost::simulation {
 
-// Bins of all replicas, time and operations that a record may come to; a longer one is to be cut first.
-inline constexpr std::size_t kMostBins = 16'000'000;
-inline constexpr Nanos kLongestRecord = std::chrono::hours(24 * 7);
-inline constexpr std::uint64_t kMostOperations = 20'000'000;
+// Maximum number of evidence bins over all replicas, maximum length of a record, and maximum number of
+// requests in it. A larger record must be cut before it is simulated.
+inline constexpr std::size_t kMaxBins = 16'000'000;
+inline constexpr Nanos kMaxRecordLength = std::chrono::hours(24 * 7);
+inline constexpr std::uint64_t kMaxOperations = 20'000'000;
 
-// Throws std::invalid_argument if the record names proxies, classes or zones that the deployment has not, or
-// is too long.
+// Throws std::invalid_argument if the record names proxies, classes or zones that the deployment does not
+// have, or if the record exceeds one of the limits above.
 void check_history(const History& history, const Deployment& deployment);
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/modelled_replica.h
+++ b/src/simulation/modelled_replica.h
@@ -1,4 +1,4 @@
-// One replica of a played day: cores, a queue, a cold start and its spells of trouble. Pure.
+// One replica of a simulated run: its cores, its queue, its warm-up after a cold start and its fault spells.
 #pragma once
 
 #include <deque>
@@ -12,50 +12,54 @@
 
 namespace ospreypost::simulation {
 
-enum class Outcome { done, failed, refused, unknown };  // refused: it never ran; unknown: it may have
+// Outcome of an attempt. refused: the attempt did not run; unknown: the attempt may have run.
+enum class Outcome { done, failed, refused, unknown };
 
 class ModelledReplica {
  public:
-  ModelledReplica(const ReplicaModel& model, const Fleet& fleet, EventQueue& clock, std::mt19937& chance)
-      : model_(model), fleet_(fleet), clock_(clock), chance_(chance) {}
-
-  // Its process begins, warm or cold; it dies, and all that it has in hand ends without an answer.
-  void start(Nanos at, bool cold);
-  void die();
-  bool alive() const { return alive_; }
-  Nanos begun() const { return begun_; }
-  // An operation of so many seconds of work. `begins` is called when it takes effect, `ends` once, when the
-  // proxy knows or `until` is over.
-  void take(double work, Nanos until, std::function<void()> begins, std::function<void(Outcome)> ends);
+  ModelledReplica(const ReplicaModel& model, const Fleet& fleet, EventQueue& clock, std::mt19937& random)
+      : model_(model), fleet_(fleet), clock_(clock), random_(random) {}
+
+  // Starts the replica's process, warm or cold, as of the time `start_time`.
+  void start(Nanos start_time, bool cold);
+  // Ends the replica's process. All attempts in its queue or in service end without an answer.
+  void stop();
+  bool running() const { return running_; }
+  Nanos start_time() const { return start_time_; }
+  // Handles an attempt that needs `work` seconds of service time. `on_effect` is called when the attempt
+  // takes effect, `on_end` once, when the proxy receives the answer or at `deadline`.
+  void handle_attempt(double work, Nanos deadline, std::function<void()> on_effect,
+                      std::function<void(Outcome)> on_end);
   double util() const { return std::min(1.0, busy_ / model_.cores); }
-  double in_hand() const { return busy_ + static_cast<double>(waiting_.size()); }
-  double queued() const { return static_cast<double>(waiting_.size()); }
+  double in_flight() const { return busy_ + static_cast<double>(queue_.size()); }
+  double queued() const { return static_cast<double>(queue_.size()); }
 
  private:
-  struct Held {
+  struct Attempt {
     double work = 0;
-    Nanos until{};
-    std::function<void()> begins;
-    std::function<void(Outcome)> ends;
+    Nanos deadline{};
+    std::function<void()> on_effect;
+    std::function<void(Outcome)> on_end;
     bool ended = false;
   };
-  const Spell* spell() const;
-  void begin(const std::shared_ptr<Held>& held);
+  // The fault spell of the present time; null if there is none.
+  const Spell* current_spell() const;
+  void serve(const std::shared_ptr<Attempt>& attempt);
   void serve_next();
-  static void end(Held& held, Outcome outcome) {
-    if (std::exchange(held.ended, true)) return;
-    held.ends(outcome);
+  static void end(Attempt& attempt, Outcome outcome) {
+    if (std::exchange(attempt.ended, true)) return;
+    attempt.on_end(outcome);
   }
 
   const ReplicaModel& model_;
   const Fleet& fleet_;
   EventQueue& clock_;
-  std::mt19937& chance_;
-  bool alive_ = false, cold_ = false;
-  Nanos begun_{};
-  std::uint64_t life_ = 0;
-  double busy_ = 0;
-  std::deque<std::shared_ptr<Held>> waiting_;
+  std::mt19937& random_;
+  bool running_ = false, cold_ = false;
+  Nanos start_time_{};
+  std::uint64_t incarnation_ = 0;  // counts starts and stops
+  double busy_ = 0;                // number of attempts in service
+  std::deque<std::shared_ptr<Attempt>> queue_;
 };
 
 }  // namespace ospreypost::simulation
--- a/src/simulation/simulated_run.h
+++ b/src/simulation/simulated_run.h
@@ -1,5 +1,5 @@
-// A day played on a model of its fleet, by another configuration or by the recorded one. Pure: the same
-// arguments give the same day.
+// Simulates the recorded traffic on a model of the fleet, with the recorded configuration or with another
+// one. A simulation has no side effects, and the same arguments give the same result.
 #pragma once
 
 #include "checker/invariant_checker.h"
@@ -7,18 +7,19 @@
 
 namespace ospreypost::simulation {
 
-// As proxies' reports count it, over one second.
+// Priority weight of the requests that the proxies' reports counted in one second.
 struct ReportedService {
-  double worth = 0;       // of the operations that were asked for
-  double unanswered = 0;  // of those that were not answered
+  double worth = 0;       // of all requests
+  double unanswered = 0;  // of the requests without an answer
 };
 
-// What the orders came to at a moment: each replica's share of what all proxies may pick, all classes.
+// Each replica's share of the weight in the routing tables of all proxies and classes at one time.
 struct TableShares {
   Nanos at{};
-  std::vector<double> by_replica;  // by replica
+  std::vector<double> by_replica;
 };
 
+// A replica was ejected (`out`) or returned.
 struct Withdrawal {
   Nanos at{};
   ReplicaId replica{};
@@ -27,21 +28,21 @@
 
 struct SimulatedRun {
   checker::Verdict verdict;
-  std::vector<ReportedService> reported;  // by second of the reports' spans
-  std::vector<double> service;            // by second: worth answered in time, of that asked for
+  std::vector<ReportedService> reported;  // by the second in which a report's span ends
+  std::vector<double> service;            // by second: share of the priority weight that was answered in time
   std::vector<TableShares> shares;        // once a second
   std::vector<Withdrawal> withdrawals;
-  std::uint64_t messages = 0;   // with news, to all proxies
-  double worst_waiting = 0;     // lines
-  std::vector<Report> reports;  // as the governors got them
-  std::uint64_t left_out = 0;   // operations at proxies that the governor served with proxies
+  std::uint64_t messages = 0;   // number of table updates sent to all proxies
+  double worst_waiting = 0;     // maximum number of queued table entries
+  std::vector<Report> reports;  // in the order in which the control plane received them
+  std::uint64_t left_out = 0;   // requests at proxies whose requests other proxies forward to replicas
 };
 
-// Throws std::invalid_argument if the record names proxies or classes that the deployment has not.
+// Throws std::invalid_argument if check_history() does (simulation/history_check.h).
 SimulatedRun simulate(const History& history, const Deployment& deployment, const Fleet& fleet,
                       std::uint32_t seed);
 
-// The same counts as the record has them, up to its end.
+// The counts of SimulatedRun::reported, from the recorded reports.
 std::vector<ReportedService> reported_service(const History& history, const Deployment& deployment);
 
 }  // namespace ospreypost::simulation
