--- a/src/report/page.h
+++ b/src/report/page.h
@@ -1,4 +1,4 @@
-// A page of figures and plots in a folder, for people.
+// Writes an HTML page with the figures and plots of an evaluation.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace ospreypost::report {
 
-// FOLDER/index.html with its plots beside it. Throws net::Error if the folder cannot be written or gnuplot
-// cannot be run.
+// Writes `folder`/index.html, and the plots as SVG files in the same folder. Throws net::Error if a file
+// cannot be written or gnuplot cannot be run.
 void write_page(const std::string& folder, const PageData& data);
 
-// Text for a page: nothing of it is read as a tag.
+// Returns the text with the characters &, <, > and " escaped for HTML.
 std::string escaped(const std::string& text);
 
 }  // namespace ospreypost::report
--- a/src/report/plots.h
+++ b/src/report/plots.h
@@ -1,4 +1,4 @@
-// Plots as gnuplot scripts with their data in them. Pure text; who draws them is elsewhere.
+// Builds gnuplot scripts that contain their data. The scripts are only text here; report/page.h draws them.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace ospreypost::report {
 
-// What a page is made of: recorded and modelled apart.
+// The content of a page. Recorded figures and modelled figures are kept apart.
 struct PageData {
   const simulation::History& history;
   const simulation::ModelError& error;
@@ -16,14 +16,15 @@
 };
 
 struct Plot {
-  std::string name;     // of its file, without its ending
-  std::string caption;  // for the page
-  std::string script;   // draws it to standard output as SVG
+  std::string name;     // file name without extension
+  std::string caption;  // text above the plot on the page
+  std::string script;   // gnuplot commands that write the plot to standard output as SVG
 };
 
 std::vector<Plot> make_plots(const PageData& data);
 
-// For a title within double quotes: what gnuplot would read as more than text is replaced.
+// Returns the text in double quotes for a gnuplot title. Characters that gnuplot may interpret are replaced
+// by '?'.
 std::string quoted(const std::string& text);
 
 }  // namespace ospreypost::report
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,4 +1,5 @@
-// Hosts governors: turns the records of a batch into calls and the governors' orders into one reply.
+// Runs controllers for the external simulator: decodes the records of a batch into calls on the controllers,
+// and encodes the controllers' actions into one reply frame.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +16,22 @@
  public:
   Adapter();
   ~Adapter();
-  // `frame` is one whole batch, header included; the reply stays valid until the next call.
-  // Throws wire::Malformed if the batch does not fit the wire.
+  // Handles one complete batch, including its header. The returned reply frame stays valid until the next
+  // call. Throws simulator::ProtocolError if the batch does not conform to the protocol.
   std::span<const std::byte> answer(std::span<const std::byte> frame);
 
  private:
   struct Instance;
-  void handle(simulator::EventCode code, simulator::FieldReader& fields, std::uint32_t who, Nanos now);
-  void call(Controller& governor, simulator::EventCode code, simulator::FieldReader& fields, Nanos now);
+  void handle(simulator::EventCode code, simulator::FieldReader& fields, std::uint32_t instance, Nanos now);
+  void call_controller(Controller& controller, simulator::EventCode code, simulator::FieldReader& fields,
+                       Nanos now);
 
   simulator::ReplyFrame reply_;
   std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
 };
 
-// Serves batches from one descriptor to another until the input ends.
+// Reads batches from the descriptor `input` and writes their replies to the descriptor `output`, until the
+// input ends.
 void serve(int input, int output);
 
 }  // namespace ospreypost
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -6,14 +6,15 @@
 
 namespace ospreypost::simulator {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian, as is the reader");
+static_assert(std::endian::native == std::endian::little,
+              "the protocol is little-endian, and fields are copied without conversion");
 
-void FieldReader::complain(const std::string& what) const { throw ProtocolError(where_ + ": " + what); }
+void FieldReader::fail(const std::string& fault) const { throw ProtocolError(record_ + ": " + fault); }
 
 std::span<const std::byte> FieldReader::bytes(std::size_t count, const char* field) {
   if (count > bytes_.size()) {
-    complain(std::string(field) + " needs " + std::to_string(count) + " bytes, " +
-             std::to_string(bytes_.size()) + " left");
+    fail(std::string(field) + " needs " + std::to_string(count) + " bytes, " + std::to_string(bytes_.size()) +
+         " left");
   }
   const auto part = bytes_.first(count);
   bytes_ = bytes_.subspan(count);
@@ -27,20 +28,20 @@
 
 double FieldReader::number(const char* field) {
   const auto value = take<double>(field);
-  if (!std::isfinite(value)) complain(std::string(field) + " is not a finite number");
+  if (!std::isfinite(value)) fail(std::string(field) + " is not a finite number");
   return value;
 }
 
 float FieldReader::small_number(const char* field) {
   const auto value = take<float>(field);
-  if (!std::isfinite(value)) complain(std::string(field) + " is not a finite number");
+  if (!std::isfinite(value)) fail(std::string(field) + " is not a finite number");
   return value;
 }
 
 Nanos FieldReader::time(const char* field) {
   const double seconds = number(field);
-  // Past 2^63 ns the conversion itself would be undefined.
-  if (std::abs(seconds) > 9.0e9) complain(std::string(field) + " is out of range");
+  // The conversion of more than 2^63 ns to an integer would be undefined behaviour.
+  if (std::abs(seconds) > 9.0e9) fail(std::string(field) + " is out of range");
   return Nanos(std::llround(seconds * 1e9));
 }
 
@@ -53,12 +54,12 @@
 void ReplyFrame::begin() {
   frame_.assign(8, std::byte{});
   records_ = 0;
-  announced_.reset();
+  announced_instance_.reset();
 }
 
 void ReplyFrame::announce_instance() {
-  if (announced_ == instance_) return;
-  announced_ = instance_;
+  if (announced_instance_ == instance_) return;
+  announced_instance_ = instance_;
   put_record(ActionCode::instance, instance_);
 }
 
@@ -77,7 +78,7 @@
   ++records_;
 }
 
-void ReplyFrame::memo(std::uint16_t recipient, std::string_view text) {
+void ReplyFrame::record_peer_message(std::uint16_t recipient, std::string_view text) {
   announce_instance();
   text = text.substr(0, 256);
   put(static_cast<std::uint16_t>(ActionCode::memo_to));
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -1,4 +1,5 @@
-// Bytes of the wire: a reader that never leaves its bounds and a writer of reply frames.
+// The binary format of the external simulator: a bounds-checked reader of fields and a writer of reply
+// frames.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 
 namespace ospreypost::simulator {
 
-// Input that does not fit the wire; its text names what and where.
+// Input that does not conform to the protocol. The message names the record, the field and the fault.
 struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -56,11 +57,11 @@
 
 static_assert(sizeof(float) == 4 && sizeof(double) == 8);
 
-// Reads fields one after the other; `where` names the record in every complaint.
+// Reads consecutive fields of a record. `record` names the record in error messages.
 class FieldReader {
  public:
-  FieldReader(std::span<const std::byte> bytes, std::string where)
-      : bytes_(bytes), where_(std::move(where)) {}
+  FieldReader(std::span<const std::byte> bytes, std::string record)
+      : bytes_(bytes), record_(std::move(record)) {}
 
   template <typename T>
   T take(const char* field) {
@@ -69,21 +70,23 @@
     std::memcpy(&value, part.data(), sizeof(T));
     return value;
   }
-  double number(const char* field);       // f64, finite
-  float small_number(const char* field);  // f32, finite
-  Nanos time(const char* field);          // f64 seconds
+  // Each function throws ProtocolError if the record is too short or the value is not valid. `field` names
+  // the field in the error message.
+  double number(const char* field);       // a finite 64-bit number
+  float small_number(const char* field);  // a finite 32-bit number
+  Nanos time(const char* field);          // seconds as a 64-bit number
   std::span<const std::byte> bytes(std::size_t count, const char* field);
   std::string_view text(std::size_t count, const char* field);
   std::vector<float> load(const char* field);
   std::size_t left() const { return bytes_.size(); }
-  [[noreturn]] void complain(const std::string& what) const;
+  [[noreturn]] void fail(const std::string& what) const;
 
  private:
   std::span<const std::byte> bytes_;
-  std::string where_;
+  std::string record_;
 };
 
-// Builds one reply frame. Records belong to the instance last named with `for_instance`.
+// Builds one reply frame. A record belongs to the instance that the last call of `for_instance` named.
 class ReplyFrame {
  public:
   ReplyFrame() { begin(); }
@@ -96,16 +99,17 @@
     put_record(code, fields...);
   }
   void record_text(ActionCode code, std::string_view text);
-  void memo(std::uint16_t recipient, std::string_view text);
-  std::span<const std::byte> finish();  // the frame, header filled in
+  void record_peer_message(std::uint16_t recipient, std::string_view text);
+  std::span<const std::byte> finish();  // fills in the header and returns the frame
 
  private:
+  // Adds the record that names the instance, if the frame's last such record names another one.
   void announce_instance();
   template <typename T>
   void put(T value) {
-    const auto at = frame_.size();
-    frame_.resize(at + sizeof(T));
-    std::memcpy(frame_.data() + at, &value, sizeof(T));
+    const auto offset = frame_.size();
+    frame_.resize(offset + sizeof(T));
+    std::memcpy(frame_.data() + offset, &value, sizeof(T));
   }
   template <typename... Fields>
   void put_record(ActionCode code, Fields... fields) {
@@ -119,7 +123,7 @@
   std::vector<std::byte> frame_;
   std::uint32_t records_ = 0;
   std::uint32_t instance_ = 0;
-  std::optional<std::uint32_t> announced_;
+  std::optional<std::uint32_t> announced_instance_;
 };
 
 }  // namespace ospreypost::simulator
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -14,9 +14,11 @@
 namespace ospreypost::simulator {
 namespace {
 
-class Pairs {
+// The values of the settings by key. Functions that return a value throw ProtocolError if the value is not
+// valid.
+class KeyValuePairs {
  public:
-  explicit Pairs(std::string_view text) {
+  explicit KeyValuePairs(std::string_view text) {
     while (!text.empty()) {
       const auto end = text.find('\n');
       const auto line = text.substr(0, end);
@@ -29,9 +31,9 @@
   }
 
   std::optional<std::string_view> find(const std::string& key) const {
-    const auto at = values_.find(key);
-    if (at == values_.end()) return std::nullopt;
-    return std::string_view(at->second);
+    const auto found = values_.find(key);
+    if (found == values_.end()) return std::nullopt;
+    return std::string_view(found->second);
   }
   std::string_view text(const std::string& key) const {
     const auto value = find(key);
@@ -39,9 +41,9 @@
     return *value;
   }
   double number(const std::string& key) const { return to_number(key, text(key)); }
-  double number_or(const std::string& key, double otherwise) const {
+  double number_or(const std::string& key, double fallback) const {
     const auto value = find(key);
-    return value ? to_number(key, *value) : otherwise;
+    return value ? to_number(key, *value) : fallback;
   }
   std::size_t count(const std::string& key) const {
     const double value = number(key);
@@ -53,10 +55,10 @@
     if (std::abs(seconds) > 9.0e9) fail(key, "is out of range");
     return Nanos(std::llround(seconds * 1e9));
   }
-  bool yes(const std::string& key) const { return to_bool(key, text(key)); }
-  bool yes_or(const std::string& key, bool otherwise) const {
+  bool boolean(const std::string& key) const { return to_bool(key, text(key)); }
+  bool boolean_or(const std::string& key, bool fallback) const {
     const auto value = find(key);
-    return value ? to_bool(key, *value) : otherwise;
+    return value ? to_bool(key, *value) : fallback;
   }
   std::vector<std::string_view> items(const std::string& key) const {
     std::vector<std::string_view> parts;
@@ -76,9 +78,9 @@
       std::uint16_t index = 0;
       const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), index);
       if (error != std::errc{} || end != item.data() + item.size()) {
-        const auto named = std::find(names.begin(), names.end(), item);
-        if (named == names.end()) fail(key, "names nothing known");
-        index = static_cast<std::uint16_t>(named - names.begin());
+        const auto position = std::find(names.begin(), names.end(), item);
+        if (position == names.end()) fail(key, "names an unknown item");
+        index = static_cast<std::uint16_t>(position - names.begin());
       }
       found.push_back(Id{index});
     }
@@ -100,8 +102,8 @@
   }
 
  private:
-  [[noreturn]] static void fail(const std::string& key, const std::string& what) {
-    throw ProtocolError("settings: " + key + " " + what);
+  [[noreturn]] static void fail(const std::string& key, const std::string& fault) {
+    throw ProtocolError("settings: " + key + " " + fault);
   }
   static double to_number(const std::string& key, std::string_view value) {
     double number = 0;
@@ -124,39 +126,40 @@
   return LoadMetric::other;
 }
 
-ClassSettings read_class(const Pairs& pairs, const std::string& at) {
+ClassSettings read_class(const KeyValuePairs& pairs, const std::string& prefix) {
   ClassSettings cls;
-  cls.effect = pairs.choice<Idempotency>(at + "effect", {{"idempotent", Idempotency::idempotent},
-                                                         {"deduplicated", Idempotency::deduplicated},
-                                                         {"at_most_once", Idempotency::at_most_once}});
-  cls.latency_objective = pairs.time(at + "on-time-s");
-  cls.request_deadline = pairs.time(at + "deadline-s");
-  cls.priority_weight = pairs.number(at + "worth");
-  cls.late_priority_weight = pairs.number_or(at + "late-value", 0);
-  cls.allowed_zones = pairs.ids<ZoneId>(at + "only-zones", "azs");
-  cls.allowed_kinds = pairs.ids<HardwareKindId>(at + "only-kinds", "skus");
+  cls.effect = pairs.choice<Idempotency>(prefix + "effect", {{"idempotent", Idempotency::idempotent},
+                                                             {"deduplicated", Idempotency::deduplicated},
+                                                             {"at_most_once", Idempotency::at_most_once}});
+  cls.latency_objective = pairs.time(prefix + "on-time-s");
+  cls.request_deadline = pairs.time(prefix + "deadline-s");
+  cls.priority_weight = pairs.number(prefix + "worth");
+  cls.late_priority_weight = pairs.number_or(prefix + "late-value", 0);
+  cls.allowed_zones = pairs.ids<ZoneId>(prefix + "only-zones", "azs");
+  cls.allowed_kinds = pairs.ids<HardwareKindId>(prefix + "only-kinds", "skus");
   return cls;
 }
 
 }  // namespace
 
 Settings parse_settings(std::string_view text) {
-  const Pairs pairs(text);
+  const KeyValuePairs pairs(text);
   Settings settings;
   const auto classes = pairs.count("classes.count");
-  if (classes > 16) throw ProtocolError("settings: classes.count is past what a class mask can name");
+  if (classes > 16)
+    throw ProtocolError("settings: classes.count is more than the 16 classes of a class mask");
   for (std::size_t k = 0; k < classes; ++k) {
     settings.classes.push_back(read_class(pairs, "classes." + std::to_string(k) + "."));
   }
   const auto same_zone_only = pairs.items("family-info.home-only");
   for (std::size_t k = 0; k < classes && k < same_zone_only.size(); ++k) {
-    settings.classes[k].same_zone_only = Pairs::to_bool("family-info.home-only", same_zone_only[k]);
+    settings.classes[k].same_zone_only = KeyValuePairs::to_bool("family-info.home-only", same_zone_only[k]);
   }
   settings.zones = pairs.items("azs").size();
   settings.own_zone = ZoneId{static_cast<std::uint16_t>(pairs.count("zone"))};
   settings.poll_endpoint_list =
       pairs.choice<bool>("membership-mode", {{"automatic", false}, {"subscribe", true}});
-  settings.health_checks_allowed = pairs.yes("allowed.may-probe");
+  settings.health_checks_allowed = pairs.boolean("allowed.may-probe");
   settings.reporting =
       pairs.choice<ReportingMode>("report.via", {{"piggyback", ReportingMode::in_load_reports},
                                                  {"pull", ReportingMode::by_health_check},
@@ -170,10 +173,10 @@
       {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
   settings.governors = pairs.count("n-instances");
   settings.proxies = pairs.count("family-info.proxy-count");
-  settings.proxies_by_zone = pairs.yes_or("family-info.zonal", false);
+  settings.proxies_by_zone = pairs.boolean_or("family-info.zonal", false);
   settings.min_replica_connections = pairs.number_or("family-info.conns-least", 0);
   settings.slices = pairs.count("family-info.ranges");
-  settings.slices_exclusive = pairs.yes("family-info.exclusive");
+  settings.slices_exclusive = pairs.boolean("family-info.exclusive");
   settings.report_interval = pairs.time("family-info.report-every-s");
   settings.message_delay = pairs.time("family-info.transit-max-s");
   settings.poll_timeout = pairs.time("contract.ask-within-s");
@@ -188,7 +191,7 @@
   settings.warm_up_duration = pairs.time("contract.cold-s");
   settings.overload_multiple = pairs.number("contract.tip-multiple");
   settings.overload_duration = pairs.time("contract.fall-s");
-  settings.only_draining_is_binding = pairs.yes_or("contract.drain-binds-alone", false);
+  settings.only_draining_is_binding = pairs.boolean_or("contract.drain-binds-alone", false);
   return settings;
 }
 
--- a/src/simulator/settings.h
+++ b/src/simulator/settings.h
@@ -1,4 +1,4 @@
-// The path=value lines of an instance's first message, read into Settings.
+// Parses the settings in the external simulator's launch record, which are lines of the form path=value.
 #pragma once
 
 #include <string_view>
@@ -7,7 +7,7 @@
 
 namespace ospreypost::simulator {
 
-// Throws Malformed where a needed key is missing or a value cannot be read; unknown keys are ignored.
+// Throws ProtocolError if a required key is missing or a value is not valid. Unknown keys are ignored.
 Settings parse_settings(std::string_view text);
 
 }  // namespace ospreypost::simulator
--- a/tests/program/report_test.cpp
+++ b/tests/program/report_test.cpp
@@ -1,4 +1,5 @@
-// The page: drawn by gnuplot from scripts in which no name is read as a command.
+// Tests the HTML page with its plots. Names with quotes, markup or gnuplot commands must not be executed by
+// gnuplot or rendered as HTML.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -12,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Page, IsDrawnWhateverNamesThereAre) {
+TEST(Page, IsWrittenSafelyForArbitraryNames) {
   simulation::History history;
   history.length = 10s;
   history.lives = {{0s, 10s}};
--- a/tests/simulator_test.cpp
+++ b/tests/simulator_test.cpp
@@ -22,7 +22,7 @@
     "family-info.counted-over-s=10\ncontract.cold-from=0.2\ncontract.cold-s=10\ncontract.tip-multiple=3\n"
     "contract.fall-s=2\nn-instances=1\nfamily-info.proxy-count=3\nsome.new-key=whatever\n";
 
-// Bytes laid end to end.
+// Builds a byte string from consecutive values.
 struct Bytes {
   std::string text;
   template <typename T>
@@ -30,23 +30,23 @@
     text.append(reinterpret_cast<const char*>(&value), sizeof(T));
     return *this;
   }
-  Bytes& raw(const std::string& more) {
-    text += more;
+  Bytes& append(const std::string& bytes) {
+    text += bytes;
     return *this;
   }
 };
 
 std::string record(std::uint16_t code, const Bytes& fields) {
-  return Bytes{}.put(code).put(static_cast<std::uint32_t>(fields.text.size())).raw(fields.text).text;
+  return Bytes{}.put(code).put(static_cast<std::uint32_t>(fields.text.size())).append(fields.text).text;
 }
 
 std::string batch(const std::string& records, double clock = 100) {
-  return Bytes{}.put(static_cast<std::uint32_t>(12 + records.size())).put(clock).raw(records).text;
+  return Bytes{}.put(static_cast<std::uint32_t>(12 + records.size())).put(clock).append(records).text;
 }
 
 std::string launch(const std::string& settings = kSettings) {
   Bytes fields;
-  fields.put(std::uint64_t{9}).put(static_cast<std::uint32_t>(settings.size())).raw(settings);
+  fields.put(std::uint64_t{9}).put(static_cast<std::uint32_t>(settings.size())).append(settings);
   return record(270, Bytes{}.put(std::uint32_t{3})) + record(266, fields);
 }
 
@@ -63,7 +63,8 @@
   return {reinterpret_cast<const char*>(reply.data()), reply.size()};
 }
 
-std::string complaint(const std::string& frame) {
+// Returns the message of the error that the frame causes; empty if it causes none.
+std::string error_message(const std::string& frame) {
   Adapter adapter;
   try {
     answer(adapter, frame);
@@ -73,50 +74,52 @@
   return "";
 }
 
-bool holds(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
 TEST(Frames, AnEmptyBatchGetsAnEmptyReply) {
   Adapter adapter;
   EXPECT_EQ(answer(adapter, batch("")), Bytes{}.put(std::uint32_t{0}).put(std::uint32_t{8}).text);
 }
 
-TEST(Frames, ARestartWithinOneBatchBeginsAnew) {
+TEST(Frames, ARestartWithinOneBatchStartsAFreshInstance) {
   Adapter adapter;
   const auto first = answer(adapter, batch(launch() + list(1)));
   const auto again = answer(
       adapter, batch(record(270, Bytes{}.put(std::uint32_t{3})) + record(265, {}) + launch() + list(1)));
   EXPECT_EQ(first, again);
-  EXPECT_TRUE(holds(first, record(332, Bytes{}.put(std::uint32_t{3}))));
+  EXPECT_TRUE(contains(first, record(332, Bytes{}.put(std::uint32_t{3}))));
 }
 
 TEST(Frames, AnUnknownEventIsSkippedByItsLength) {
   Adapter adapter;
-  const auto odd = record(999, Bytes{}.raw("anything")) + record(12, {});
-  EXPECT_EQ(answer(adapter, batch(odd + launch() + list(1))).size(),
+  const auto unknown_records = record(999, Bytes{}.append("anything")) + record(12, {});
+  EXPECT_EQ(answer(adapter, batch(unknown_records + launch() + list(1))).size(),
             answer(adapter, batch(launch() + list(1))).size());
 }
 
-TEST(BadInput, IsNamedAndNeverAnswered) {
-  EXPECT_TRUE(holds(complaint(batch(launch() + list(2))), "list entries"));
-  EXPECT_TRUE(holds(complaint(batch(launch() + list(1, 9))), "phase"));
+TEST(InvalidInput, IsRejectedWithAMessageThatNamesTheFault) {
+  EXPECT_TRUE(contains(error_message(batch(launch() + list(2))), "list entries"));
+  EXPECT_TRUE(contains(error_message(batch(launch() + list(1, 9))), "phase"));
   const float nan = std::numeric_limits<float>::quiet_NaN();
-  EXPECT_TRUE(holds(complaint(batch(launch() + list(1, 2, nan))), "finite"));
-  EXPECT_TRUE(holds(complaint(batch("", std::numeric_limits<double>::infinity())), "clock"));
-  EXPECT_TRUE(holds(complaint(batch(list(1))), "no instance"));
-  EXPECT_TRUE(holds(complaint(batch(launch("classes.count=x\n"))), "classes.count"));
-  EXPECT_TRUE(holds(complaint(batch(launch("classes.count=1\n"))), "is missing"));
+  EXPECT_TRUE(contains(error_message(batch(launch() + list(1, 2, nan))), "finite"));
+  EXPECT_TRUE(contains(error_message(batch("", std::numeric_limits<double>::infinity())), "clock"));
+  EXPECT_TRUE(contains(error_message(batch(list(1))), "no instance"));
+  EXPECT_TRUE(contains(error_message(batch(launch("classes.count=x\n"))), "classes.count"));
+  EXPECT_TRUE(contains(error_message(batch(launch("classes.count=1\n"))), "is missing"));
   const auto whole = batch(launch() + list(1));
   for (std::size_t cut = 12; cut < whole.size(); ++cut) {
     auto frame = whole.substr(0, cut);
     const auto size = static_cast<std::uint32_t>(frame.size());
     std::memcpy(frame.data(), &size, 4);
-    const auto text = complaint(frame);
+    const auto text = error_message(frame);
     const bool at_record_end = cut == 12 || cut == 22 || cut == 12 + launch().size();
     EXPECT_EQ(text.empty(), at_record_end) << cut << ": " << text;
   }
 }
 
-TEST(BadInput, EndingWithinAFrameIsAFault) {
+TEST(InvalidInput, EndWithinAFrameIsAnError) {
   const auto whole = batch(launch() + list(1));
   for (const std::size_t cut : {std::size_t{5}, whole.size() - 3}) {
     int in[2], out[2];
