--- a/src/simulation/evaluation.cpp
+++ b/src/simulation/evaluation.cpp
@@ -55,8 +55,8 @@
     stretches[second / per_stretch].recorded.worth += recorded_seconds[second].worth;
     stretches[second / per_stretch].recorded.unanswered += recorded_seconds[second].unanswered;
   }
-  // The model is fitted from every second stretch and compared with the record on the other stretches, for
-  // both halves.
+  // The model is fitted from every second stretch and compared with the record on the other stretches. The
+  // halves then change places.
   std::size_t done = 0;
   for (const std::size_t half : {0, 1}) {
     std::vector<bool> training_reports;
--- a/src/simulation/evaluation.h
+++ b/src/simulation/evaluation.h
@@ -1,5 +1,5 @@
-// Estimates how another configuration would have served the recorded traffic. The model's error on the
-// recorded configuration is measured too, and figures have bounds where the record leaves something open.
+// Estimates how another configuration would have served the recorded traffic. Each figure has bounds for
+// events that the record leaves open, and the model's error on the recorded configuration is measured too.
 // Nothing here has side effects.
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace ospreypost::simulation {
 
 // Difference between the model and the record over stretches of time whose reports were left out of the fit
-// of the steady figures.
+// of work, speed, cores and warm-up.
 struct ModelError {
   Nanos stretch{};  // length of one stretch
   std::size_t stretches = 0;
@@ -50,7 +50,8 @@
 ModelError measure_model_error(const History& history, const Deployment& recorded,
                                const EvaluationOptions& options);
 
-// Models of the recorded fleet, one for each assumption. They serve for the evaluation of any deployment.
+// Models of the recorded fleet, one for each assumption. The same models serve for the evaluation of any
+// deployment.
 struct FittedFleets {
   Fleet middle, optimistic, pessimistic;
 };
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -18,7 +18,8 @@
   void schedule(Nanos time, std::function<void()> action) {
     events_.push({std::max(time, now_), scheduled_++, std::move(action)});
   }
-  // Runs the actions that are due by `end`. The end is needed because timers restart each other without end.
+  // Runs the actions that are due by `end`. Actions may schedule further actions without limit, so the queue
+  // need not become empty.
   void run_until(Nanos end) {
     while (!events_.empty() && events_.top().time <= end) {
       auto next = std::move(const_cast<Event&>(events_.top()));
--- a/src/simulation/evidence.h
+++ b/src/simulation/evidence.h
@@ -9,7 +9,7 @@
 
 namespace ospreypost::simulation {
 
-// Length of one bin of evidence.
+// Length of the time bins into which the evidence of a replica is divided.
 inline constexpr Nanos kBin = std::chrono::milliseconds(200);
 
 // Results of one proxy's attempts at the replica over a span.
@@ -24,7 +24,7 @@
 struct Evidence {
   double attempts = 0, handled = 0, handled_seconds = 0;
   double failure_ratio = 0;    // failed attempts per attempt, 0 to 1
-  double util = 0, utils = 0;  // weighted sum of the reported utilization, and sum of the weights
+  double util = 0, utils = 0;  // weighted sum of the reported utilization; sum of the weights
   bool any() const { return attempts > 1e-9; }
 };
 
--- a/src/simulation/fit.cpp
+++ b/src/simulation/fit.cpp
@@ -20,32 +20,36 @@
 constexpr double kMaxLoadFailureRatio = 0.5;
 // Failure ratio below which failures are noise.
 constexpr double kNoiseFailureRatio = 0.02;
-// Mean latency of a report line, relative to the usual service time, above which the line includes queueing.
+// Mean latency of the attempts in a report line, relative to the replica's service time without queueing,
+// above which the line is assumed to include queueing.
 constexpr double kQueueingLatencyFactor = 1.5;
-// Mean latency relative to the usual service time from which a replica is slow, if the load on its cores is
-// at most kMaxUnloadedUtilization. With a higher load, queueing may explain the latency.
+// Mean latency relative to the service time without queueing above which a replica is considered slow,
+// provided that the utilization of its cores is at most kMaxUnloadedUtilization. With a higher utilization,
+// queueing may explain the latency.
 constexpr double kSlowLatencyFactor = 3;
 constexpr double kMaxUnloadedUtilization = 0.7;
-// Maximum probability of a repeat; with a higher probability, repeats would hardly end.
+// Maximum probability that a client repeats a failed request; with a higher probability, repeats would hardly
+// end.
 constexpr double kMaxRepeatProbability = 0.95;
 // Minimum length of a gap without attempts that is examined for a fault.
 constexpr Nanos kMinGap = 600ms;
 // Service time in seconds if the record shows none.
 constexpr double kFallbackWork = 0.05;
-// Depth of the gap before the first counted failures, as the gap's attempts relative to the usual number of
-// attempts. At kImmediateFailureGap all failures are immediate (less than 1, as random arrivals leave gaps
-// too), at kHangGap all attempts hang.
+// Number of attempts counted just before the first failures of a spell, relative to the replica's usual
+// number. Attempts that hang leave a gap there. At kImmediateFailureGap or more, all failures are taken as
+// immediate; the value is less than 1 because random arrivals leave gaps too. At kHangGap or less, all failed
+// attempts are taken as hanging.
 constexpr double kImmediateFailureGap = 0.75;
 constexpr double kHangGap = 0.35;
 // Minimum queueing time relative to the service time; a shorter time is not distinguishable from noise.
 constexpr double kMinQueueingRatio = 0.1;
 // Factor on the measured queueing time up to which a predicted queueing time agrees with the measured one.
 constexpr double kQueueingTolerance = 1.5;
-// Minimum number of load readings from which cores are estimated.
+// Minimum number of utilization readings that an estimate of the cores needs.
 constexpr double kMinLoadReadings = 40;
-// Number of standard errors from which two estimates differ significantly.
+// Difference between two estimates, in standard errors, above which the difference is significant.
 constexpr double kSignificantErrors = 2;
-// Minimum number of successful attempts from which a replica's own mean latency is used.
+// Minimum number of successful attempts that a replica needs to have figures of its own.
 constexpr double kMinHandledAttempts = 20;
 constexpr double kMaxCores = 64;
 
@@ -167,17 +171,17 @@
   // Sums over the time in which a replica was warm and without faults.
   struct HealthySums {
     double handled = 0, handled_seconds = 0, seconds = 0;
-    // Attempts, and the length of the spans, summed over the lines of all proxies.
+    // Number of attempts and length of the spans, both summed over the report lines of all proxies.
     double line_handled = 0, line_seconds = 0;
     double util = 0, util_squares = 0, readings = 0;  // of the reported utilization
     double mean() const { return handled_seconds / handled; }
     double rate() const { return handled / seconds; }
     bool any() const { return handled >= kMinHandledAttempts && seconds > 0; }
     // Returns the mean number of attempts in service that a utilization reading includes. A reading comes
-    // from the last answer before the report. Attempts of the same proxy that were in service then are mostly
-    // missing from the reading, as their own answers would have been later. With random arrivals and a mean
-    // of `a` of the proxy's own attempts in service, 1 - exp(-a) of them are missing. Attempts of other
-    // proxies are all included.
+    // from the last answer before the report. Another attempt of the same proxy that was in service at that
+    // answer has usually been answered before the report too, which makes its own answer the last. The
+    // reading therefore misses part of the proxy's own attempts: of a mean of `a` in service, 1 - exp(-a) are
+    // missing with random arrivals. Attempts of other proxies are all included.
     double in_service_at_reading(double service_seconds) const {
       const double own = line_seconds > 0 ? line_handled / line_seconds * service_seconds : 0;
       return std::max(0.0, rate() * service_seconds - (1 - std::exp(-own)));
@@ -249,8 +253,8 @@
     return Cores{count, count * std::sqrt(variance / readings) / mean};
   }
 
-  // Returns the narrower group's estimate if it differs significantly from that of the wider group, else the
-  // wider group's.
+  // Chooses between an estimate for a wide group of replicas and one for a narrower group. Returns the narrow
+  // estimate if the two differ significantly, else the wide one.
   static std::optional<Cores> choose_estimate(const std::optional<Cores>& wide,
                                               const std::optional<Cores>& narrow) {
     if (!wide || !narrow) return narrow ? narrow : wide;
@@ -513,8 +517,9 @@
                        [&](const Listed& listed) { return listed.from <= from && to <= listed.to; });
   }
 
-  // Finds the replica's fault spells: bins that show a fault, and gaps without attempts next to such bins.
-  // For gaps, the assumption decides, as the record has no evidence for them.
+  // Finds the replica's fault spells from the bins that show a fault and from the gaps without attempts next
+  // to such bins. The record has no evidence for a gap, so the assumption decides how much of the gap belongs
+  // to the fault.
   void fit_spells(std::size_t n) {
     auto& spells = fleet_.replicas[n].spells;
     const auto& bins = evidence_[n];
@@ -591,8 +596,8 @@
     const auto gap_bins = std::max<std::size_t>(1, static_cast<std::size_t>(attempt_timeout() / kBin));
     const auto report_bins = static_cast<std::size_t>(deployment_.settings.report_interval / kBin);
     const double expected = healthy_sums_[n].rate() * seconds(kBin) * static_cast<double>(gap_bins);
-    // The position of the gap is uncertain by the span of a report, so the emptiest window of that range
-    // counts.
+    // The position of the gap is uncertain by the span of a report. The function uses the window with the
+    // fewest attempts within that range.
     double lowest_ratio = 1;
     for (auto from = first_failure - std::min(first_failure, gap_bins + report_bins);
          from + gap_bins <= std::min(bins.size(), first_failure + report_bins); ++from) {
@@ -647,8 +652,8 @@
   std::vector<double> not_run_ratios_;  // by second: share of the fleet's failed attempts that did not run
   std::vector<HealthySums> healthy_sums_;
   std::vector<double> service_times_;  // by replica: service time of an attempt in seconds
-  double mean_service_time_ =
-      kFallbackWork;  // service time in seconds, mean over the replicas with measured times
+  // Mean service time in seconds over the replicas with a measured service time.
+  double mean_service_time_ = kFallbackWork;
 };
 
 }  // namespace
--- a/src/simulation/history.h
+++ b/src/simulation/history.h
@@ -14,8 +14,8 @@
 struct ReplicaLine {
   ReplicaId replica{};
   std::uint32_t attempts = 0, failed = 0;
-  Nanos mean_latency{};  // of the successful attempts
-  std::vector<float> load;
+  Nanos mean_latency{};     // of the successful attempts
+  std::vector<float> load;  // reported load of the replica, in the order of the configured load columns
 };
 
 // Requests of one class that a proxy received over the span of a report.
@@ -52,11 +52,13 @@
   bool fresh = true;
 };
 
+// A proxy acknowledged a routing table with the latency `took`.
 struct Acknowledgement {
   ProxyId proxy{};
   Nanos took{};
 };
 
+// A message from another control plane instance.
 struct PeerMessage {
   Nanos at{};
   PeerId peer{};
--- a/src/simulation/simulated_run.cpp
+++ b/src/simulation/simulated_run.cpp
@@ -30,8 +30,8 @@
   return static_cast<std::size_t>(id);
 }
 
-// Returns the proxies that ever joined in the record, with their zones. Other proxies forward their
-// requests to these.
+// Returns the proxies that joined the control plane at any time in the record, with their zones. All other
+// proxies forward their requests to these proxies.
 std::map<ProxyId, ZoneId> zones_of_served(const History& history) {
   std::map<ProxyId, ZoneId> zones;
   for (const auto& membership : history.memberships) {
@@ -184,8 +184,8 @@
   std::vector<DemandLine> demand_lines;           // since the last report
   // A proxy that forwards sends its requests to other proxies, which report them.
   bool joined = false, forwards = false;
-  // Number of the present series of pulls. A series ends when the proxy joins or leaves or the instance
-  // stops.
+  // Number of the present series of pulls. A series ends when the proxy joins or leaves, or when the control
+  // plane instance stops.
   std::uint64_t pull_series = 0;
 };
 
--- a/src/simulation/simulated_run.h
+++ b/src/simulation/simulated_run.h
@@ -28,9 +28,9 @@
 
 struct SimulatedRun {
   checker::Verdict verdict;
-  std::vector<ReportedService> reported;  // by the second in which a report's span ends
-  std::vector<double> service;            // by second: share of the priority weight that was answered in time
-  std::vector<TableShares> shares;        // once a second
+  std::vector<ReportedService> reported;  // indexed by the second in which a report's span ends
+  std::vector<double> service;  // by second: share of the requests' priority weight that was answered in time
+  std::vector<TableShares> shares;  // one entry per second
   std::vector<Withdrawal> withdrawals;
   std::uint64_t messages = 0;   // number of table updates sent to all proxies
   double worst_waiting = 0;     // maximum number of queued table entries
--- a/tests/program/simulation_test.cpp
+++ b/tests/program/simulation_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the fleet model: a fit finds the figures of the fleet that produced the reports, a simulated run
-// is deterministic, and figures have bounds where the record leaves something open.
+// is deterministic, and figures have bounds for events that the record leaves open.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
