--- a/src/simulation/fleet.h
+++ b/src/simulation/fleet.h
@@ -53,7 +53,8 @@
   std::vector<double> repeats;  // by class: probability that a client repeats a failed request, 0 to 0.95
   Nanos push_time{};            // delay until a proxy applies a table that is pushed to it
   bool cores_seen = false, cold_seen = false;  // whether reports showed the cores, and the warm-up
-  double unseen = 0;  // share of all replicas' listed time without attempts, next to a failure
+  // Share of all replicas' recorded time that has no attempts and follows or precedes a failure.
+  double unseen = 0;
 };
 
 // Throws std::invalid_argument if history and deployment do not fit together (simulation/history_check.h).
--- a/src/simulation/modelled_replica.cpp
+++ b/src/simulation/modelled_replica.cpp
@@ -9,8 +9,7 @@
 namespace {
 
 constexpr Nanos kImmediateAnswerDelay = std::chrono::milliseconds(1);  // of an answer without service time
-// Maximum queue length per core; further attempts are refused. A record does not show the length of the
-// queues.
+// Maximum queue length per core; further attempts are refused. A record does not show this limit.
 constexpr double kMaxQueuePerCore = 16;
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
