--- a/bench/records.cpp
+++ b/bench/records.cpp
@@ -15,7 +15,7 @@
 #include "record/summary.h"
 #include "replay/history.h"
 #include "replay/replay.h"
-#include "simulation/simulated_day.h"
+#include "simulation/simulated_run.h"
 #include "terms/deployment.h"
 
 namespace {
@@ -101,10 +101,10 @@
   const auto deployment = terms::deployment_of(config::parse_config(history.configuration, "recorded"));
   simulation::Fleet fleet;
   const double fit_seconds =
-      seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assume::middle); });
-  simulation::PlayedDay day;
+      seconds_of([&] { fleet = simulation::fit(history, deployment, simulation::Assumption::middle); });
+  simulation::SimulatedRun day;
   const double simulation_seconds =
-      seconds_of([&] { day = simulation::play(history, deployment, fleet, 1); });
+      seconds_of([&] { day = simulation::simulate(history, deployment, fleet, 1); });
   std::printf("the model: fitted in %.2f s; a day simulated %.0f times as fast as recorded\n", fit_seconds,
               recorded_seconds / simulation_seconds);
   return 0;
--- a/src/replay/report_assembler.h
+++ b/src/replay/report_assembler.h
@@ -23,12 +23,12 @@
 class ReportAssembler {
  public:
   /// Adds a line with the results of the proxy's attempts at one replica.
-  void add_replica_line(const LineOrigin& origin, simulation::Met met);
+  void add_replica_line(const LineOrigin& origin, simulation::ReplicaLine met);
   /// Adds a line about one replica from a record before schema 2, which does not store the proxy.
-  void add_unattributed_line(Nanos arrived, Nanos span, simulation::Met met);
+  void add_unattributed_line(Nanos arrived, Nanos span, simulation::ReplicaLine met);
   /// Adds a line with the demand of the proxy for one request class. Unattributed lines of the same span that
   /// were recorded just before are attributed to the same proxy.
-  void add_demand_line(const LineOrigin& origin, const simulation::Asked& asked);
+  void add_demand_line(const LineOrigin& origin, const simulation::DemandLine& asked);
   /// Begins another incarnation: later lines never extend a report of an earlier incarnation.
   void begin_incarnation() { last_reports_.clear(); }
 
@@ -41,7 +41,7 @@
   struct UnattributedLine {
     Nanos arrived{};
     Nanos span{};
-    simulation::Met met;
+    simulation::ReplicaLine met;
   };
 
   simulation::Report& current_report(const LineOrigin& origin);
--- a/src/report/plots.h
+++ b/src/report/plots.h
@@ -1,29 +1,30 @@
-// Plots as gnuplot scripts with their data in them. Pure text; who draws them is elsewhere.
+// Builds gnuplot scripts that contain their data. The scripts are only text here; report/page.h draws them.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "simulation/answer.h"
+#include "simulation/evaluation.h"
 
 namespace ospreypost::report {
 
-// What a page is made of: recorded and modelled apart.
-struct Material {
+// The content of a page. Recorded figures and modelled figures are kept apart.
+struct PageData {
   const simulation::History& history;
   const simulation::ModelError& error;
-  const std::vector<simulation::Answer>& answers;
+  const std::vector<simulation::Evaluation>& evaluations;
 };
 
 struct Plot {
-  std::string name;     // of its file, without its ending
-  std::string caption;  // for the page
-  std::string script;   // draws it to standard output as SVG
+  std::string name;     // file name without extension
+  std::string caption;  // text above the plot on the page
+  std::string script;   // gnuplot commands that write the plot to standard output as SVG
 };
 
-std::vector<Plot> plots_of(const Material& material);
+std::vector<Plot> make_plots(const PageData& data);
 
-// For a title within double quotes: what gnuplot would read as more than text is replaced.
+// Returns the text in double quotes for a gnuplot title. Characters that gnuplot may interpret are replaced
+// by '?'.
 std::string quoted(const std::string& text);
 
 }  // namespace ospreypost::report
