--- a/bench/dns.cpp
+++ b/bench/dns.cpp
@@ -99,7 +99,7 @@
   auto config = test::small_config();
   config.dns.threads = 1;
   config.dns.answers_per_second = 1e9;
-  config.dns.most_udp_bytes = 4096;
+  config.dns.max_udp_bytes = 4096;
   const auto question =
       dns::write_question(7, "_sign-job._tcp.forwarder-1.proxies.farm.example.", dns::Type::srv, 4096);
   for (const std::uint32_t lines : {8U, 40U, 200U}) {
--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -33,7 +33,7 @@
   auto config = bench::fleet_config(proxies);
   config.roll.path = (folder / "roll.json").string();
   config.dns.answers_per_second = 1e9;
-  config.dns.most_udp_bytes = 4096;
+  config.dns.max_udp_bytes = 4096;
   auto roll = bench::fleet_roll(replicas, config);
   bench::write_roll(config.roll.path, roll);
   control_plane::ControlPlaneServer service(config, std::make_shared<spdlog::logger>("none"));
--- a/bench/push.cpp
+++ b/bench/push.cpp
@@ -91,7 +91,7 @@
   config.roll.path = (home / "roll.json").string();
   config.files.reader_confirms = false;
   config.dns.answers_per_second = 1e9;
-  config.dns.most_udp_bytes = 4096;
+  config.dns.max_udp_bytes = 4096;
   std::vector<std::size_t> pushed, asking;
   for (std::size_t p = 0; p < proxies; ++p) (p % 2 == 0 ? pushed : asking).push_back(p);
   for (const auto p : pushed) config.proxies.known[p].folder = (home / config.proxies.known[p].name).string();
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -146,18 +146,18 @@
   dns.listen = endpoint(element, "listen");
   dns.apex = element.text("apex");
   dns.server_name = element.text("server-name");
-  dns.longest_lifetime = std::chrono::floor<std::chrono::seconds>(element.time("longest-lifetime"));
+  dns.max_ttl = std::chrono::floor<std::chrono::seconds>(element.time("longest-lifetime"));
   dns.flight = element.time("flight");
   dns.threads = static_cast<std::size_t>(element.number("threads"));
-  dns.most_udp_bytes = static_cast<std::size_t>(element.number("most-udp-bytes"));
-  dns.most_connections = static_cast<std::size_t>(element.number("most-connections"));
+  dns.max_udp_bytes = static_cast<std::size_t>(element.number("most-udp-bytes"));
+  dns.max_connections = static_cast<std::size_t>(element.number("most-connections"));
   dns.answers_per_second = element.number("answers-per-second");
   using std::chrono::seconds;
-  if (dns.longest_lifetime < seconds(1)) element.fail("longest-lifetime must be 1 s at least");
+  if (dns.max_ttl < seconds(1)) element.fail("longest-lifetime must be 1 s at least");
   if (dns.threads < 1 || dns.threads > 64) element.fail("threads must be 1 to 64");
-  if (dns.most_udp_bytes < 512 || dns.most_udp_bytes > 4096)
+  if (dns.max_udp_bytes < 512 || dns.max_udp_bytes > 4096)
     element.fail("most-udp-bytes must be 512 to 4096");
-  if (dns.most_connections < 1 || dns.most_connections > 1024)
+  if (dns.max_connections < 1 || dns.max_connections > 1024)
     element.fail("most-connections must be 1 to 1024");
   if (dns.answers_per_second <= 0) element.fail("answers-per-second must be above 0");
   // No answer with replicas could be given to anybody.
@@ -246,7 +246,7 @@
 
 dns::ClientTtlLimits client_limits(const Config& config) {
   return {config.settings.drain_grace, config.roll.every, config.dns.flight, config.proxies.silence,
-          std::chrono::duration_cast<dns::Ttl>(config.dns.longest_lifetime)};
+          std::chrono::duration_cast<dns::Ttl>(config.dns.max_ttl)};
 }
 
 std::optional<ProxyId> find_proxy(const Config& config, std::string_view name) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -45,11 +45,11 @@
 struct DnsFront {
   net::Address listen;
   std::string apex, server_name;  // each with its closing dot
-  std::chrono::seconds longest_lifetime{};
+  std::chrono::seconds max_ttl{};
   Nanos flight{};
   std::size_t threads = 1;
-  std::size_t most_udp_bytes = 1232;
-  std::size_t most_connections = 64;
+  std::size_t max_udp_bytes = 1232;
+  std::size_t max_connections = 64;
   double answers_per_second = 0;  // by UDP to one address
 };
 
--- a/src/control_plane/http_api.cpp
+++ b/src/control_plane/http_api.cpp
@@ -120,7 +120,7 @@
   auto* const pusher = pusher_.load();
   if (pusher == nullptr) return text_response(503, "the control plane is still starting\n");
   try {
-    return json_response(200, files::write_state(pusher->look(*proxy)));
+    return json_response(200, files::write_state(pusher->fetch_state(*proxy)));
   } catch (const net::Error& error) {
     return text_response(502, std::string(error.what()) + "\n");
   }
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -43,8 +43,8 @@
                   names_of(config.proxies.known)),
       proxies_(config.proxies.known),
       own_address_(config.dns.listen),
-      max_udp_bytes_(config.dns.most_udp_bytes),
-      max_ttl_(static_cast<std::uint32_t>(config.dns.longest_lifetime.count())),
+      max_udp_bytes_(config.dns.max_udp_bytes),
+      max_ttl_(static_cast<std::uint32_t>(config.dns.max_ttl.count())),
       pull_service_(pull_service),
       answer_cache_(kMaxCachedAnswers) {}
 
--- a/src/dns/server.cpp
+++ b/src/dns/server.cpp
@@ -38,8 +38,8 @@
       on_error_(std::move(on_error)),
       rng_(static_cast<std::mt19937::result_type>(seed ^ seed >> 32)),
       rate_limit_(settings.answers_per_second, rng_),
-      connection_limiter_(std::max<std::size_t>(1, settings.most_connections / 2)),
-      connection_threads_("dns-connection", settings.most_connections, settings.most_connections) {
+      connection_limiter_(std::max<std::size_t>(1, settings.max_connections / 2)),
+      connection_threads_("dns-connection", settings.max_connections, settings.max_connections) {
   std::tie(udp_, tcp_) = bind_udp_and_tcp(settings.listen);
   for (std::size_t n = 0; n < settings.threads; ++n)
     threads_.emplace_back("dns-udp", [this] { serve_udp(); });
--- a/src/files/pusher.cpp
+++ b/src/files/pusher.cpp
@@ -149,7 +149,7 @@
   return read_state(answer.body);
 }
 
-State Pusher::look(ProxyId proxy) {
+State Pusher::fetch_state(ProxyId proxy) {
   return state_of(proxy, nullptr, net::Steady::now() + config_.files.patience);
 }
 
@@ -166,7 +166,7 @@
     const auto answer = http::fetch(*proxy.receiver, request, until);
     if (answer.status != 200) throw net::Error(answer.body.substr(0, answer.body.find('\n')));
   }
-  const auto state = look(id);
+  const auto state = fetch_state(id);
   // Who was withdrawn meanwhile is recalled at once.
   core_.on_rollback(id, state.instead);
   return state;
--- a/src/files/pusher.h
+++ b/src/files/pusher.h
@@ -25,7 +25,7 @@
 
   // By hand. What lies at a proxy; throws net::Error if nobody there can say, or it has neither folder nor
   // receiver.
-  State look(ProxyId proxy);
+  State fetch_state(ProxyId proxy);
   // Throws net::Error saying why not. `out`: whom nobody may send to.
   State roll_back(ProxyId proxy, std::uint64_t version, const std::vector<std::string>& out);
 
--- a/tests/program/dns_test.cpp
+++ b/tests/program/dns_test.cpp
@@ -263,7 +263,7 @@
   // Hostile clients hold all but one of the connections that one address may open, and send only the start of
   // a question on each.
   std::vector<net::Socket> open_connections;
-  for (std::size_t n = 0; n < fixture.config.dns.most_connections / 2 - 1; ++n) {
+  for (std::size_t n = 0; n < fixture.config.dns.max_connections / 2 - 1; ++n) {
     open_connections.push_back(fixture.connect());
     net::write_fully(open_connections.back(), std::array{'\0', '\x40', 'x'}, net::Steady::now() + 1s);
   }
