--- a/fuzz/receiver.cpp
+++ b/fuzz/receiver.cpp
@@ -27,7 +27,7 @@
   made.stamp.epoch = 1 + part(0).size() % 3;
   made.owner = part(1);
   made.names = {part(2)};
-  made.out = {part(3)};
+  made.excluded = {part(3)};
   made.files[part(4) + ".json"] = part(5);
   made.files[part(6) + ".conf"] = from;
   return files::write_generation(made);
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,4 +1,4 @@
-// What each sub-command does; each returns the exit status.
+// The sub-commands of the program; each returns the exit status.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace ospreypost::cli {
 
 int serve(const std::string& config_path);
-// As the operators' platform starts it: told by ROUTER_CONFIG.
+// Runs on the operators' platform; the environment variable ROUTER_CONFIG names the configuration.
 int platform();
 int check_config(const std::string& config_path);
 
@@ -25,33 +25,35 @@
   bool no_reader = false;
 };
 int receive(const ReceiveOptions& options);
-// Of a receiver; or of a proxy's, through its governor.
+// Shows the generations of the receiver at address `at`; if `proxy` is given, `at` is the address of the
+// control plane instance and the generations are those of that proxy.
 int show_generations(const std::string& at, const std::string& proxy);
-// `whom`: a receiver's address; or a proxy, through its governor.
-int rollback(const std::string& whom, std::uint64_t version, const std::string& governor);
+// `target`: the address of a receiver; if `governor` is given, a proxy's name, and `governor` is the address
+// of its control plane instance.
+int rollback(const std::string& target, std::uint64_t version, const std::string& governor);
 
 struct ReplayOptions {
-  std::vector<std::string> records;  // folders or files, in any order
-  std::string orders_of;             // another configuration, told the same; empty: the recorded one
-  bool all = false;                  // every difference, not the first alone
+  std::vector<std::string> records;  // folders of records, or files, in any order
+  std::string orders_of;  // path of another configuration to replay with; empty: the recorded configuration
+  bool all = false;       // print every difference; false: the first only
 };
-// 3 if an order differs.
+// Returns 3 if an action differs from the record.
 int replay(const ReplayOptions& options);
 
 struct WhatIfOptions {
   std::vector<std::string> records;
-  std::vector<std::string> settings;  // other configurations
-  std::string report;                 // a folder for a page; empty: none
-  std::size_t draws = 5;              // days played for each assumption
+  std::vector<std::string> settings;  // paths of other configurations
+  std::string report;                 // folder for the report page; empty: no page
+  std::size_t draws = 5;              // number of days simulated for each assumption
   bool json = false;
 };
-// What the recorded setting and others would have made of the day, on a model of its fleet.
+// Simulates the recorded day with the recorded and other configurations, on a model of the recorded fleet.
 int what_if(const WhatIfOptions& options);
 
 struct RecordOptions {
   std::vector<std::string> records;
-  std::string from, to;  // since the beginning, such as "90 s"; empty: no bound
-  std::string out;       // a folder
+  std::string from, to;  // time since the beginning of the record, such as "90 s"; empty: no bound
+  std::string out;       // output folder
   bool json = false;
 };
 int record_info(const RecordOptions& options);
@@ -63,12 +65,12 @@
 
 struct DayOptions {
   std::string path;
-  std::string keep;  // a folder for what the day leaves behind; empty: nothing is kept
+  std::string keep;  // folder for the files of the test environment; empty: the files are removed
   bool equal_weights = false;
-  std::optional<std::uint32_t> seed;  // instead of the day's own
-  std::string setting;                // another configuration than the day's own; empty: its own
+  std::optional<std::uint32_t> seed;  // replaces the scenario's seed
+  std::string setting;  // path of a configuration that replaces the scenario's; empty: the scenario's
 };
-// 3 if a rule was broken.
+// Plays a scenario. Returns 3 if a rule was broken.
 int day(const DayOptions& options);
 
 }  // namespace ospreypost::cli
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -10,8 +10,8 @@
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
 
-// The service of each second as a digit, 9 for all of it in time.
-std::string strip(const std::vector<double>& service) {
+// Returns a digit for the service of each second, from 0 to 9; 9: all requests served in time.
+std::string service_digits(const std::vector<double>& service) {
   std::string digits;
   for (const double share : service) digits += static_cast<char>('0' + static_cast<int>(share * 9 + 0.001));
   return digits;
@@ -23,30 +23,30 @@
   auto script = scenario::read_script(options.path);
   if (options.seed) script.seed = *options.seed;
   if (!options.setting.empty()) script.governor_path = options.setting;
-  scenario::PlayOptions playing;
-  playing.program = std::filesystem::read_symlink("/proc/self/exe").string();
-  playing.folder = options.keep;
-  playing.equal_weights = options.equal_weights;
-  playing.tell = [](Nanos at, const std::string& what) {
-    std::printf("%7.2f s  %s\n", seconds(at), what.c_str());
+  scenario::PlayOptions play_options;
+  play_options.program = std::filesystem::read_symlink("/proc/self/exe").string();
+  play_options.folder = options.keep;
+  play_options.equal_weights = options.equal_weights;
+  play_options.tell = [](Nanos time, const std::string& what) {
+    std::printf("%7.2f s  %s\n", seconds(time), what.c_str());
     std::fflush(stdout);
   };
   std::printf("day %s, %.0f s, seed %u\n", script.name.c_str(), seconds(script.length), script.seed);
-  const auto played = scenario::play(script, playing);
-  std::printf("service by second  %s\n", strip(played.service_by_second).c_str());
-  for (const auto& rule : played.verdict.rules) {
-    if (options.equal_weights) break;  // nobody is there to keep them
+  const auto outcome = scenario::play(script, play_options);
+  std::printf("service by second  %s\n", service_digits(outcome.service_by_second).c_str());
+  for (const auto& rule : outcome.verdict.rules) {
+    if (options.equal_weights) break;  // without a control plane instance the rules do not apply
     std::printf("%-7s %-30s %s\n", rule.kept ? "kept" : "BROKEN", rule.name.c_str(), rule.figures.c_str());
   }
-  const auto& service = played.verdict.service;
+  const auto& service = outcome.verdict.service;
   std::printf(
       "service %.3f  (whole run %.3f, worst 10 s %.3f, worst class %.3f; %zu of %zu operations answered)\n",
-      service.score(), service.whole, service.worst_window, service.worst_class, played.verdict.answered,
-      played.verdict.operations);
+      service.score(), service.whole, service.worst_window, service.worst_class, outcome.verdict.answered,
+      outcome.verdict.operations);
   if (options.equal_weights) return 0;
-  std::printf("governor stopped in %.2f s\n", seconds(played.stop_took));
-  std::printf("verdict: %s\n", played.verdict.kept() ? "all rules kept" : "A RULE IS BROKEN");
-  return played.verdict.kept() ? 0 : 3;
+  std::printf("governor stopped in %.2f s\n", seconds(outcome.stop_took));
+  std::printf("verdict: %s\n", outcome.verdict.kept() ? "all rules kept" : "A RULE IS BROKEN");
+  return outcome.verdict.kept() ? 0 : 3;
 }
 
 }  // namespace ospreypost::cli
--- a/src/cli/logging.cpp
+++ b/src/cli/logging.cpp
@@ -10,7 +10,7 @@
 namespace ospreypost::cli {
 namespace {
 
-// The message as a JSON text, so that nothing in it can break the line.
+// Writes the message as a JSON string, so that no character of the message breaks the JSON line.
 class Quoted : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&, spdlog::memory_buf_t& to) override {
--- a/src/cli/logging.h
+++ b/src/cli/logging.h
@@ -1,4 +1,4 @@
-// Structured logging by spdlog: text or JSON lines, each with the governor's name.
+// Structured logging with spdlog: text or JSON lines, each with the name of the control plane instance.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace ospreypost::cli {
 
-// Throws spdlog's exception if the path cannot be written.
+// Throws spdlog::spdlog_ex if the log file cannot be opened.
 std::shared_ptr<spdlog::logger> make_logger(const config::Logging& settings, const std::string& governor);
 
 }  // namespace ospreypost::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,6 +1,7 @@
-// The program: `ospreypost serve|platform|check-config|show|receive|rollback|replay|record|day`. Exit status:
-// 0 done, 1 it failed at run time, 2 the command line or a file is at fault, 3 a day broke a rule, or a
-// replay differs.
+// The program: `ospreypost serve|platform|check-config|show|receive|rollback|replay|record|day`.
+//
+// Exit status: 0 success; 1 failure at run time; 2 fault in the command line or a file; 3 a rule was broken
+// in a scenario, or a replay differs from its record.
 #include <CLI/CLI.hpp>
 #include <iostream>
 
@@ -12,96 +13,112 @@
 
 int run(int argc, char** argv) {
   namespace cli = ospreypost::cli;
-  CLI::App app{"hands plain proxies their weights, and decides from what they report"};
+  CLI::App app{"gives plain proxies their routing tables, based on their load reports"};
   app.require_subcommand(1);
 
   std::string config;
   auto* serve = app.add_subcommand("serve", "run a governor until SIGTERM or SIGINT");
-  serve->add_option("CONFIG", config, "its configuration (XML)")->required();
+  serve->add_option("CONFIG", config, "configuration (XML)")->required();
   auto* platform =
       app.add_subcommand("platform", "run a governor on the operators' platform (ROUTER_CONFIG)");
-  auto* check = app.add_subcommand("check-config", "say what is wrong with a configuration, if anything");
-  check->add_option("CONFIG", config, "the configuration (XML)")->required();
+  auto* check = app.add_subcommand("check-config", "check a configuration and list its faults");
+  check->add_option("CONFIG", config, "configuration (XML)")->required();
 
-  cli::ShowOptions showing;
-  auto* show = app.add_subcommand("show", "look into a running governor");
-  show->add_option("WHAT", showing.what, "tables, replicas, proxies, versions; generations of a receiver")
+  cli::ShowOptions show_options;
+  auto* show = app.add_subcommand("show", "show the state of a running governor");
+  show->add_option("WHAT", show_options.what,
+                   "tables, replicas, proxies, versions; generations of a receiver")
       ->required()
       ->check(CLI::IsMember({"tables", "replicas", "proxies", "versions", "generations"}));
   std::string proxy;
   show->add_option("PROXY", proxy,
-                   "for generations, through its governor; without, --at is its receiver's address");
-  show->add_option("--at", showing.at, "where it takes reports, such as 127.0.0.1:4318")->required();
-  show->add_flag("--json", showing.json, "for machines");
+                   "for generations: the proxy's name; without it, --at is the address of a receiver");
+  show->add_option("--at", show_options.at,
+                   "address where the governor receives reports, such as 127.0.0.1:4318")
+      ->required();
+  show->add_flag("--json", show_options.json, "print JSON");
 
-  cli::ReceiveOptions receiving;
-  auto* receive = app.add_subcommand("receive", "take generations of tables for a proxy on this host");
-  receive->add_option("--listen", receiving.listen, "address and port")->required();
-  receive->add_option("--folder", receiving.folder, "where the proxy reads")->required();
-  receive->add_option("--keep", receiving.keep, "generations to keep")->check(CLI::Range(2, 1000));
-  receive->add_flag("--no-reader", receiving.no_reader, "a table counts as taken when it is stored");
+  cli::ReceiveOptions receive_options;
+  auto* receive = app.add_subcommand("receive", "receive generations of tables for a proxy on this host");
+  receive->add_option("--listen", receive_options.listen, "address and port to listen on")->required();
+  receive->add_option("--folder", receive_options.folder, "folder that the proxy reads")->required();
+  receive->add_option("--keep", receive_options.keep, "number of generations to keep")
+      ->check(CLI::Range(2, 1000));
+  receive->add_flag("--no-reader", receive_options.no_reader,
+                    "confirm a table when it is stored, without waiting for the reader");
 
-  std::string at;
+  std::string governor;
   std::uint64_t version = 0;
-  auto* rollback =
-      app.add_subcommand("rollback", "make a kept generation current again, unless it names who is out");
-  std::string whom;
-  rollback->add_option("PROXY", whom, "its name; without --at, the address of its receiver")->required();
-  rollback->add_option("--at", at, "where its governor takes reports, such as 127.0.0.1:4318");
-  rollback->add_option("VERSION", version, "as `show generations` lists it")->required();
+  auto* rollback = app.add_subcommand(
+      "rollback", "make a kept generation current again, unless it lists an excluded replica");
+  std::string target;
+  rollback->add_option("PROXY", target, "name of the proxy; without --at, the address of its receiver")
+      ->required();
+  rollback->add_option("--at", governor,
+                       "address where the governor receives reports, such as 127.0.0.1:4318");
+  rollback->add_option("VERSION", version, "version, as `show generations` lists it")->required();
 
-  cli::ReplayOptions replaying;
-  auto* replay = app.add_subcommand("replay", "play a record to this build and compare what it orders");
-  replay->add_option("RECORD", replaying.records, "folders of records, or files, in any order")->required();
-  auto* orders_of = replay->add_option("--orders-of", replaying.orders_of,
-                                       "what another configuration orders when told the same");
-  auto* all = replay->add_flag("--all", replaying.all, "every difference, not the first alone");
-  cli::WhatIfOptions asking;
-  auto* setting =
-      replay
-          ->add_option("--setting", asking.settings, "what another configuration would have made of the day")
-          ->excludes(orders_of)
-          ->excludes(all);
+  cli::ReplayOptions replay_options;
+  auto* replay = app.add_subcommand("replay", "replay a record with this build and compare the actions");
+  replay->add_option("RECORD", replay_options.records, "folders of records, or files, in any order")
+      ->required();
+  auto* orders_of = replay->add_option("--orders-of", replay_options.orders_of,
+                                       "compare with the actions of another configuration on the same calls");
+  auto* all = replay->add_flag("--all", replay_options.all, "print every difference, not only the first");
+  cli::WhatIfOptions what_if_options;
+  auto* setting = replay
+                      ->add_option("--setting", what_if_options.settings,
+                                   "simulate the recorded day with another configuration")
+                      ->excludes(orders_of)
+                      ->excludes(all);
   bool model = false;
-  replay->add_flag("--model", model, "how far the model is off on the recorded setting, without others");
-  replay->add_option("--report", asking.report, "a folder for a page with plots");
-  replay->add_option("--draws", asking.draws, "days to play for each assumption")->check(CLI::Range(1, 1000));
-  replay->add_flag("--json", asking.json, "for machines");
+  replay->add_flag("--model", model, "print the error of the model on the recorded configuration only");
+  replay->add_option("--report", what_if_options.report, "folder for a report page with plots");
+  replay->add_option("--draws", what_if_options.draws, "number of days to simulate for each assumption")
+      ->check(CLI::Range(1, 1000));
+  replay->add_flag("--json", what_if_options.json, "print JSON");
 
-  cli::RecordOptions looking;
-  auto* record = app.add_subcommand("record", "look into records, and make records of records");
+  cli::RecordOptions record_options;
+  auto* record = app.add_subcommand("record", "inspect, cut, merge and convert records");
   record->require_subcommand(1);
-  struct Tool {
-    const char *name, *what;
+  struct RecordCommand {
+    const char *name, *description;
     int (*run)(const cli::RecordOptions&);
     bool json, window, out;
   };
-  const Tool tools[] = {
-      {"info", "what files hold", cli::record_info, true, false, false},
-      {"dump", "every call and its orders, a line each", cli::record_dump, true, true, false},
-      {"cut", "a stretch, as a record of its own", cli::record_cut, false, true, true},
-      {"merge", "files of several folders into one", cli::record_merge, false, false, true},
-      {"export-day", "a scripted day of what befell the fleet", cli::record_export_day, false, false, true},
-      {"anonymise", "the same without its names", cli::record_anonymise, false, false, true},
+  const RecordCommand record_commands[] = {
+      {"info", "summarize the files", cli::record_info, true, false, false},
+      {"dump", "print each call and its actions, one line each", cli::record_dump, true, true, false},
+      {"cut", "copy a time window into a new record", cli::record_cut, false, true, true},
+      {"merge", "merge the files of several folders into one folder", cli::record_merge, false, false, true},
+      {"export-day", "write a scenario of the recorded traffic and faults", cli::record_export_day, false,
+       false, true},
+      {"anonymise", "copy a record with all names replaced", cli::record_anonymise, false, false, true},
   };
-  for (const auto& tool : tools) {
-    auto* sub = record->add_subcommand(tool.name, tool.what);
-    sub->add_option("RECORD", looking.records, "folders of records, or files, in any order")->required();
-    if (tool.json) sub->add_flag("--json", looking.json, "for machines");
-    if (tool.window) sub->add_option("--from", looking.from, "since the record's beginning, such as '90 s'");
-    if (tool.window) sub->add_option("--to", looking.to, "likewise");
-    if (tool.out) sub->add_option("--out", looking.out, "a folder without records")->required();
+  for (const auto& command : record_commands) {
+    auto* sub = record->add_subcommand(command.name, command.description);
+    sub->add_option("RECORD", record_options.records, "folders of records, or files, in any order")
+        ->required();
+    if (command.json) sub->add_flag("--json", record_options.json, "print JSON");
+    if (command.window)
+      sub->add_option("--from", record_options.from,
+                      "start of the window, as time since the beginning of the record, such as '90 s'");
+    if (command.window)
+      sub->add_option("--to", record_options.to,
+                      "end of the window, as time since the beginning of the record");
+    if (command.out)
+      sub->add_option("--out", record_options.out, "output folder without records")->required();
   }
 
-  cli::DayOptions playing;
-  auto* day = app.add_subcommand("day", "play a scripted day against a governor and judge it");
-  day->add_option("FILE", playing.path, "the day (XML)")->required();
-  day->add_option("--keep", playing.keep,
+  cli::DayOptions day_options;
+  auto* day = app.add_subcommand("day", "play a scenario against a governor and check the rules");
+  day->add_option("FILE", day_options.path, "scenario (XML)")->required();
+  day->add_option("--keep", day_options.keep,
                   "keep the roll, the configuration and the governor's log in this folder");
-  day->add_option("--seed", playing.seed, "instead of the day's own");
-  day->add_option("--setting", playing.setting, "another configuration than the day's own");
-  day->add_flag("--equal-weights", playing.equal_weights,
-                "without a governor, for comparison: equal weights all day");
+  day->add_option("--seed", day_options.seed, "seed that replaces the scenario's");
+  day->add_option("--setting", day_options.setting, "configuration that replaces the scenario's");
+  day->add_flag("--equal-weights", day_options.equal_weights,
+                "run without a governor, with equal weights, for comparison");
 
   try {
     app.parse(argc, argv);
@@ -111,19 +128,19 @@
   if (serve->parsed()) return cli::serve(config);
   if (platform->parsed()) return cli::platform();
   if (check->parsed()) return cli::check_config(config);
-  if (replay->parsed() && (*setting || model || !asking.report.empty())) {
-    asking.records = replaying.records;
-    return cli::what_if(asking);
+  if (replay->parsed() && (*setting || model || !what_if_options.report.empty())) {
+    what_if_options.records = replay_options.records;
+    return cli::what_if(what_if_options);
   }
-  if (replay->parsed()) return cli::replay(replaying);
-  for (const auto& tool : tools) {
-    if (record->parsed() && record->got_subcommand(tool.name)) return tool.run(looking);
+  if (replay->parsed()) return cli::replay(replay_options);
+  for (const auto& command : record_commands) {
+    if (record->parsed() && record->got_subcommand(command.name)) return command.run(record_options);
   }
-  if (receive->parsed()) return cli::receive(receiving);
-  if (rollback->parsed()) return cli::rollback(whom, version, at);
-  if (showing.what == "generations") return cli::show_generations(showing.at, proxy);
-  if (day->parsed()) return cli::day(playing);
-  return cli::show(showing);
+  if (receive->parsed()) return cli::receive(receive_options);
+  if (rollback->parsed()) return cli::rollback(target, version, governor);
+  if (show_options.what == "generations") return cli::show_generations(show_options.at, proxy);
+  if (day->parsed()) return cli::day(day_options);
+  return cli::show(show_options);
 }
 
 }  // namespace
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -12,13 +12,15 @@
 namespace ospreypost::cli {
 
 int platform() {
-  // Before any thread starts, so that none of them takes the signals, and none comes before there is an ear.
-  sigset_t heeded;
-  sigemptyset(&heeded);
-  for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&heeded, signal);
-  pthread_sigmask(SIG_BLOCK, &heeded, nullptr);
+  // Blocks the signals before any thread starts, so that only sigwait() below receives them, also signals
+  // sent earlier.
+  sigset_t handled_signals;
+  sigemptyset(&handled_signals);
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&handled_signals, signal);
+  pthread_sigmask(SIG_BLOCK, &handled_signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  // An arena for each thread would hold memory that the others lack; the limits are small.
+  // Uses one malloc arena: with an arena for each thread, free memory of one could not serve the others, and
+  // the memory limit of the platform is small.
   ::mallopt(M_ARENA_MAX, 1);
 
   const char* const path = std::getenv("ROUTER_CONFIG");
@@ -29,7 +31,7 @@
   log->info("serving at {}", service.address().text());
   for (;;) {
     int signal = 0;
-    sigwait(&heeded, &signal);
+    sigwait(&handled_signals, &signal);
     if (signal != SIGHUP) break;
     try {
       service.reload(ospreypost::platform::read_platform_config(path));
--- a/src/cli/record.cpp
+++ b/src/cli/record.cpp
@@ -36,7 +36,7 @@
   const auto time = config::parse_duration(text);
   if (!time)
     throw config::ConfigError(std::string(option) +
-                              " takes a time since the record's beginning, such as '90 s'");
+                              " expects a time since the beginning of the record, such as '90 s'");
   return *time;
 }
 
@@ -44,7 +44,7 @@
   record::TimeWindow window;
   if (!options.from.empty()) window.from = time_of(options.from, "--from");
   if (!options.to.empty()) window.to = time_of(options.to, "--to");
-  if (window.to < window.from) throw config::ConfigError("--to lies before --from");
+  if (window.to < window.from) throw config::ConfigError("--to is before --from");
   return window;
 }
 
@@ -133,14 +133,14 @@
     const auto made =
         replay::export_scenario(history, deployment, fleet, config.kinds, "recorded", "governor.xml");
     const auto day = (fs::path(options.out) / "day.xml").string();
-    // What cannot be played is not written.
+    // Parses the scenario before writing it, so that only a scenario that can be played is written.
     scenario::parse_script(made.scenario, day, options.out);
     std::error_code failed;
     fs::create_directories(options.out, failed);
     for (const auto& [name, text] :
          {std::pair(day, &made.scenario),
           std::pair((fs::path(options.out) / "governor.xml").string(), &made.configuration)}) {
-      if (fs::exists(name)) throw net::Error(name + " is there already");
+      if (fs::exists(name)) throw net::Error(name + " already exists");
       std::ofstream file(name, std::ios::binary);
       file << *text;
       if (!file.flush()) throw net::Error("cannot write " + name);
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -14,25 +14,25 @@
 }  // namespace
 
 int replay(const ReplayOptions& options) {
-  replay::Options playing;
-  Nanos from{};
-  bool begun = false;
-  playing.load_config = [&](const std::string& recorded) {
+  replay::Options replay_options;
+  Nanos first_time{};
+  bool has_first_time = false;
+  replay_options.load_config = [&](const std::string& recorded) {
     const auto config = options.orders_of.empty()
                             ? config::parse_config(recorded, "the recorded configuration")
                             : config::read_config(options.orders_of);
     return replay::ControllerConfig{config::module_settings(config), config.seed};
   };
   const auto print = [&](const replay::Difference& difference) {
-    if (!begun) from = difference.at, begun = true;
+    if (!has_first_time) first_time = difference.at, has_first_time = true;
     std::printf("call %llu, %.6f s after the first difference: %s\n  recorded: %s\n  replayed: %s\n",
-                static_cast<unsigned long long>(difference.event_number), seconds(difference.at - from),
+                static_cast<unsigned long long>(difference.event_number), seconds(difference.at - first_time),
                 difference.event.c_str(),
                 difference.recorded.empty() ? "nothing" : difference.recorded.c_str(),
                 difference.replayed.empty() ? "nothing" : difference.replayed.c_str());
   };
-  if (options.all) playing.on_difference = print;
-  const auto outcome = replay::replay(record::list_files(options.records), playing);
+  if (options.all) replay_options.on_difference = print;
+  const auto outcome = replay::replay(record::list_files(options.records), replay_options);
   if (outcome.first_difference && !options.all) print(*outcome.first_difference);
   const auto count = [](std::uint64_t number) { return static_cast<unsigned long long>(number); };
   std::printf("%llu calls on %llu governors over %.1f s, %llu orders, digest %016llx\n",
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -10,13 +10,14 @@
 
 int serve(const std::string& config_path) {
   const auto config = config::read_config(config_path);
-  // Before any thread starts, so that none of them takes the signal.
-  sigset_t stopping;
-  sigemptyset(&stopping);
-  sigaddset(&stopping, SIGTERM);
-  sigaddset(&stopping, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &stopping, nullptr);
-  // A file system at its limit is an error like any other; serving goes on.
+  // Blocks the signals before any thread starts, so that only sigwait() below receives them.
+  sigset_t stop_signals;
+  sigemptyset(&stop_signals);
+  sigaddset(&stop_signals, SIGTERM);
+  sigaddset(&stop_signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
+  // Ignores SIGXFSZ, so that a write beyond the file size limit fails with an error instead of ending the
+  // process.
   std::signal(SIGXFSZ, SIG_IGN);
 
   const auto log = make_logger(config.logging, config.name);
@@ -24,7 +25,7 @@
   std::cout << "ready dns " << service.dns_address().text() << " reports " << service.http_address().text()
             << std::endl;
   int signal = 0;
-  sigwait(&stopping, &signal);
+  sigwait(&stop_signals, &signal);
   service.stop();
   return 0;
 }
--- a/src/cli/show.cpp
+++ b/src/cli/show.cpp
@@ -43,13 +43,14 @@
 int show(const ShowOptions& options) {
   http::Request request;
   request.target = "/" + options.what;
-  const auto until = net::Steady::now() + std::chrono::seconds(5);
-  const auto got = http::fetch(net::Address::parse(options.at), request, until);
-  if (got.status != 200) throw net::Error("the governor answered with status " + std::to_string(got.status));
+  const auto deadline = net::Steady::now() + std::chrono::seconds(5);
+  const auto answer = http::fetch(net::Address::parse(options.at), request, deadline);
+  if (answer.status != 200)
+    throw net::Error("the governor answered with status " + std::to_string(answer.status));
   if (options.json) {
-    std::cout << got.body << '\n';
+    std::cout << answer.body << '\n';
   } else {
-    print_aligned(json::parse(got.body));
+    print_aligned(json::parse(answer.body));
   }
   return 0;
 }
--- a/src/cli/what_if.cpp
+++ b/src/cli/what_if.cpp
@@ -19,7 +19,7 @@
 
 double seconds(Nanos time) { return std::chrono::duration<double>(time).count(); }
 
-// On a terminal only: a file wants no progress in it.
+// Shows the progress only if standard error is a terminal, so that files get none of it.
 void show_progress(const std::string& label, std::size_t done, std::size_t all) {
   if (!::isatty(STDERR_FILENO)) return;
   std::fprintf(stderr, "\r%-40s %3zu of %zu days\033[K", label.c_str(), done, all);
@@ -94,7 +94,7 @@
   return json;
 }
 
-// Recorded and modelled apart.
+// Returns the recorded and the modelled results as separate objects.
 nlohmann::json json_of(const simulation::History& history, const simulation::Deployment& recorded,
                        const simulation::ModelError& error, const simulation::Fleet& fleet,
                        const std::vector<simulation::Answer>& answers) {
@@ -118,13 +118,14 @@
     for (const auto& rule : answer.rules)
       rules.push_back({{"rule", rule.name}, {"kept", rule.kept}, {"days", rule.days}, {"worst", rule.worst}});
     auto withdrawals = nlohmann::json::array();
-    for (const auto& of : answer.day.withdrawals) {
-      withdrawals.push_back({{"at", seconds(of.at)},
-                             {"replica", history.replicas.at(static_cast<std::size_t>(of.replica))},
-                             {"out", of.out}});
+    for (const auto& withdrawal : answer.day.withdrawals) {
+      withdrawals.push_back({{"at", seconds(withdrawal.at)},
+                             {"replica", history.replicas.at(static_cast<std::size_t>(withdrawal.replica))},
+                             {"out", withdrawal.out}});
     }
     auto shares = nlohmann::json::array();
-    for (const auto& of : answer.day.shares) shares.push_back({{"at", seconds(of.at)}, {"share", of.of}});
+    for (const auto& share : answer.day.shares)
+      shares.push_back({{"at", seconds(share.at)}, {"share", share.of}});
     modelled["settings"].push_back({{"setting", answer.label},
                                     {"service", json_of(answer.service)},
                                     {"worst-10-s", json_of(answer.worst_window)},
@@ -144,20 +145,20 @@
   const auto history = replay::read_history(record::list_files(options.records));
   const auto recorded =
       terms::deployment_of(config::parse_config(history.configuration, "the recorded configuration"));
-  simulation::Asking asking;
-  asking.draws = options.draws;
+  simulation::Asking model_options;
+  model_options.draws = options.draws;
   std::string label = "the model's error";
-  asking.progress = [&](std::size_t done, std::size_t all) { show_progress(label, done, all); };
+  model_options.progress = [&](std::size_t done, std::size_t all) { show_progress(label, done, all); };
   try {
-    const auto error = simulation::error_of(history, recorded, asking);
+    const auto error = simulation::error_of(history, recorded, model_options);
     std::vector<simulation::Answer> answers;
     label = "as recorded";
     const auto fitted = simulation::fit_all(history, recorded);
-    answers.push_back(simulation::answer(history, fitted, recorded, recorded, label, asking));
+    answers.push_back(simulation::answer(history, fitted, recorded, recorded, label, model_options));
     for (const auto& path : options.settings) {
       label = std::filesystem::path(path).stem().string();
-      answers.push_back(simulation::answer(history, fitted, recorded,
-                                           terms::deployment_of(config::read_config(path)), label, asking));
+      answers.push_back(simulation::answer(
+          history, fitted, recorded, terms::deployment_of(config::read_config(path)), label, model_options));
     }
     if (!options.report.empty()) report::write_page(options.report, {history, error, answers});
     if (options.json) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,40 +9,41 @@
 namespace {
 
 template <typename Id>
-Id named(const Element& at, const std::vector<std::string>& names, const std::string& name,
-         const char* what) {
+Id find_id(const Element& element, const std::vector<std::string>& names, const std::string& name,
+           const char* what) {
   const auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) at.fail(std::string("there is no ") + what + " '" + name + "'");
+  if (found == names.end()) element.fail(std::string("there is no ") + what + " '" + name + "'");
   return Id{static_cast<std::underlying_type_t<Id>>(found - names.begin())};
 }
 
 template <typename Value>
-Value chosen(const Element& at, const char* attribute,
-             std::initializer_list<std::pair<const char*, Value>> choices) {
-  const auto text = at.text(attribute);
+Value parse_choice(const Element& element, const char* attribute,
+                   std::initializer_list<std::pair<const char*, Value>> choices) {
+  const auto text = element.text(attribute);
   for (const auto& [name, value] : choices) {
     if (text == name) return value;
   }
-  at.fail(std::string(attribute) + " '" + text + "' is unknown");
+  element.fail(std::string(attribute) + " '" + text + "' is unknown");
 }
 
-net::Address endpoint(const Element& at, const char* attribute) {
+net::Address parse_address(const Element& element, const char* attribute) {
   try {
-    return net::Address::parse(at.text(attribute));
+    return net::Address::parse(element.text(attribute));
   } catch (const net::Error& error) {
-    at.fail(std::string(attribute) + ": " + error.what());
+    element.fail(std::string(attribute) + ": " + error.what());
   }
 }
 
-constexpr std::array<std::pair<LoadMetric, const char*>, 6> kColumns{{{LoadMetric::util, "util"},
-                                                                      {LoadMetric::inflight, "inflight"},
-                                                                      {LoadMetric::queue, "queue"},
-                                                                      {LoadMetric::latency, "latency"},
-                                                                      {LoadMetric::rate, "rate"},
-                                                                      {LoadMetric::errors, "errors"}}};
+constexpr std::array<std::pair<LoadMetric, const char*>, 6> kLoadMetricNames{
+    {{LoadMetric::util, "util"},
+     {LoadMetric::inflight, "inflight"},
+     {LoadMetric::queue, "queue"},
+     {LoadMetric::latency, "latency"},
+     {LoadMetric::rate, "rate"},
+     {LoadMetric::errors, "errors"}}};
 
-LoadMetric column(const std::string& name) {
-  for (const auto& [known, text] : kColumns) {
+LoadMetric parse_load_metric(const std::string& name) {
+  for (const auto& [known, text] : kLoadMetricNames) {
     if (name == text) return known;
   }
   return LoadMetric::other;
@@ -57,10 +58,10 @@
 
 ClassSettings read_class(const Element& element, const Config& config) {
   ClassSettings cls;
-  cls.effect = chosen<Idempotency>(element, "effect",
-                                   {{"idempotent", Idempotency::idempotent},
-                                    {"deduplicated", Idempotency::deduplicated},
-                                    {"at-most-once", Idempotency::at_most_once}});
+  cls.effect = parse_choice<Idempotency>(element, "effect",
+                                         {{"idempotent", Idempotency::idempotent},
+                                          {"deduplicated", Idempotency::deduplicated},
+                                          {"at-most-once", Idempotency::at_most_once}});
   cls.latency_objective = element.time("target-time");
   cls.request_deadline = element.time("abandon-time");
   if (cls.latency_objective <= Nanos{}) element.fail("target-time must be above 0");
@@ -70,9 +71,9 @@
   cls.late_priority_weight = element.number("late-payoff");
   cls.same_zone_only = element.yes("home-only");
   for (const auto& zone : element.words("only-zones"))
-    cls.allowed_zones.push_back(named<ZoneId>(element, config.zones, zone, "zone"));
+    cls.allowed_zones.push_back(find_id<ZoneId>(element, config.zones, zone, "zone"));
   for (const auto& kind : element.words("only-kinds"))
-    cls.allowed_kinds.push_back(named<HardwareKindId>(element, config.kinds, kind, "kind"));
+    cls.allowed_kinds.push_back(find_id<HardwareKindId>(element, config.kinds, kind, "kind"));
   return cls;
 }
 
@@ -103,29 +104,30 @@
   for (const auto& proxy : element.children()) {
     auto& entry = config.proxies.known.emplace_back();
     entry.name = proxy.text("name");
-    entry.zone = named<ZoneId>(proxy, config.zones, proxy.text("zone"), "zone");
+    entry.zone = find_id<ZoneId>(proxy, config.zones, proxy.text("zone"), "zone");
     entry.usual_rate = proxy.number("usual-rate");
-    if (proxy.find("entry")) entry.entry = endpoint(proxy, "entry");
+    if (proxy.find("entry")) entry.entry = parse_address(proxy, "entry");
     entry.vouched = proxy.yes("vouched");
     entry.folder = proxy.find("folder").value_or("");
-    if (proxy.find("receiver")) entry.receiver = endpoint(proxy, "receiver");
-    if (!entry.folder.empty() && entry.receiver) proxy.fail("has a folder and a receiver: one of them");
+    if (proxy.find("receiver")) entry.receiver = parse_address(proxy, "receiver");
+    if (!entry.folder.empty() && entry.receiver)
+      proxy.fail("has both a folder and a receiver; expected at most one");
   }
   config.proxies.silence = element.time("silence");
   auto& settings = config.settings;
   settings.proxies = config.proxies.known.size();
   settings.min_replica_connections = element.number("connections-least");
-  settings.picking = chosen<PickingPolicy>(
+  settings.picking = parse_choice<PickingPolicy>(
       element, "picking",
       {{"weighted", PickingPolicy::weighted}, {"round", PickingPolicy::round}, {"two", PickingPolicy::two}});
-  settings.admission = chosen<AdmissionMode>(
+  settings.admission = parse_choice<AdmissionMode>(
       element, "admission",
       {{"share", AdmissionMode::share}, {"rate", AdmissionMode::rate}, {"ignored", AdmissionMode::ignored}});
 }
 
 void read_reports(const Element& element, Config& config) {
   auto& reports = config.reports;
-  reports.listen = endpoint(element, "listen");
+  reports.listen = parse_address(element, "listen");
   reports.probe_path = element.text("probe-path");
   reports.probe_timeout = element.time("probe-timeout");
   reports.most_bytes = static_cast<std::size_t>(element.number("most-bytes"));
@@ -133,17 +135,17 @@
   auto& settings = config.settings;
   settings.report_interval = element.time("every");
   if (settings.report_interval <= Nanos{}) element.fail("every must be above 0");
-  settings.reporting = chosen<ReportingMode>(element, "load",
-                                             {{"none", ReportingMode::none},
-                                              {"in-sums", ReportingMode::in_load_reports},
-                                              {"by-probe", ReportingMode::by_health_check}});
+  settings.reporting = parse_choice<ReportingMode>(element, "load",
+                                                   {{"none", ReportingMode::none},
+                                                    {"in-sums", ReportingMode::in_load_reports},
+                                                    {"by-probe", ReportingMode::by_health_check}});
   settings.health_checks_allowed = settings.reporting == ReportingMode::by_health_check;
-  for (const auto& name : element.words("columns")) settings.load_columns.push_back(column(name));
+  for (const auto& name : element.words("columns")) settings.load_columns.push_back(parse_load_metric(name));
 }
 
 void read_dns(const Element& element, Config& config) {
   auto& dns = config.dns;
-  dns.listen = endpoint(element, "listen");
+  dns.listen = parse_address(element, "listen");
   dns.apex = element.text("apex");
   dns.server_name = element.text("server-name");
   dns.max_ttl = std::chrono::floor<std::chrono::seconds>(element.time("longest-lifetime"));
@@ -153,16 +155,17 @@
   dns.max_connections = static_cast<std::size_t>(element.number("most-connections"));
   dns.answers_per_second = element.number("answers-per-second");
   using std::chrono::seconds;
-  if (dns.max_ttl < seconds(1)) element.fail("longest-lifetime must be 1 s at least");
+  if (dns.max_ttl < seconds(1)) element.fail("longest-lifetime must be at least 1 s");
   if (dns.threads < 1 || dns.threads > 64) element.fail("threads must be 1 to 64");
-  if (dns.max_udp_bytes < 512 || dns.max_udp_bytes > 4096)
-    element.fail("most-udp-bytes must be 512 to 4096");
+  if (dns.max_udp_bytes < 512 || dns.max_udp_bytes > 4096) element.fail("most-udp-bytes must be 512 to 4096");
   if (dns.max_connections < 1 || dns.max_connections > 1024)
     element.fail("most-connections must be 1 to 1024");
   if (dns.answers_per_second <= 0) element.fail("answers-per-second must be above 0");
-  // No answer with replicas could be given to anybody.
+  // Without a TTL of at least 1 s within the grace, no DNS response could list replicas.
   if (!dns::grace_permits_min_ttl(client_limits(config)))
-    element.fail("the drain grace leaves no room for a lifetime of 1 s, the flight and the roll's reading");
+    element.fail(
+        "the drain grace is too short for a TTL of 1 s, the flight and the interval between reads of the "
+        "roll");
 }
 
 void read_files(const Element& element, FilesFront& files) {
@@ -175,14 +178,14 @@
   files.reader_confirms = element.yes("reader-confirms");
   if (files.threads < 1 || files.threads > 64) element.fail("threads must be 1 to 64");
   if (files.patience <= Nanos{} || files.renew <= Nanos{}) element.fail("patience and renew must be above 0");
-  if (files.keep < 2) element.fail("keep must be 2 at least");
+  if (files.keep < 2) element.fail("keep must be at least 2");
 }
 
 }  // namespace
 
-const char* name_of(LoadMetric column) {
-  for (const auto& [known, text] : kColumns) {
-    if (column == known) return text;
+const char* name_of(LoadMetric metric) {
+  for (const auto& [known, text] : kLoadMetricNames) {
+    if (metric == known) return text;
   }
   return "other";
 }
@@ -217,7 +220,7 @@
   config.classes = names_in(classes);
   auto& settings = config.settings;
   settings.zones = config.zones.size();
-  settings.own_zone = named<ZoneId>(root, config.zones, root.text("zone"), "zone");
+  settings.own_zone = find_id<ZoneId>(root, config.zones, root.text("zone"), "zone");
   for (const auto& element : classes.children()) settings.classes.push_back(read_class(element, config));
   read_limits(root.child("limits"), settings);
   read_proxies(root.child("proxies"), config);
@@ -236,8 +239,8 @@
 
 Config read_config(const std::string& path) { return parse_config(read_file(path), path); }
 
-// Proxies that pull take what waits for them when they ask, so the module need not space its messages: the
-// handouts and the pushes keep that limit where messages are made, and a drain is never held up by it.
+// The policy module need not limit its messages: proxies that pull receive all pending changes when they
+// query, and pull and push delivery apply the message limit themselves. The limit thus never delays a drain.
 Settings module_settings(const Config& config) {
   auto settings = config.settings;
   settings.max_messages_per_window = 0;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// What a governor is told at its start: the module's settings, and those of the program round it.
+// Configuration of a control plane instance: the settings of the policy module, and those of the program
+// around it.
 #pragma once
 
 #include <optional>
@@ -16,16 +17,17 @@
 struct ProxyEntry {
   std::string name;
   ZoneId zone{};
-  double usual_rate = 0;                 // operations a second
-  std::optional<net::Address> entry;     // where it takes operations of others, if it does
-  bool vouched = false;                  // asks the governor without a cache between
-  std::string folder;                    // pushed to: a folder on this host, or
-  std::optional<net::Address> receiver;  // a receiver; neither: it asks DNS
+  double usual_rate = 0;              // requests per second
+  std::optional<net::Address> entry;  // address for requests that other proxies forward; empty: accepts none
+  bool vouched = false;               // queries the control plane instance without a DNS cache in between
+  std::string folder;                 // folder on this host that tables are pushed to
+  std::optional<net::Address>
+      receiver;  // receiver that tables are pushed to; with neither, the proxy uses DNS
   bool is_pushed_to() const { return !folder.empty() || receiver; }
 };
 
 struct Proxies {
-  std::vector<ProxyEntry> known;  // a proxy's number is its position
+  std::vector<ProxyEntry> known;  // indexed by ProxyId
   Nanos silence{};
 };
 
@@ -33,33 +35,33 @@
   net::Address listen;
   std::string probe_path;
   Nanos probe_timeout{};
-  std::size_t most_bytes = 0;  // of one request
-  Nanos oldest{};              // that a span may have ended
+  std::size_t most_bytes = 0;  // maximum size of the body of a request
+  Nanos oldest{};              // maximum age of the end of a span that is accepted
 };
 
 struct EndpointFileSource {
   std::string path;
-  Nanos every{};  // looked at
+  Nanos every{};  // interval between two reads of the file
 };
 
 struct DnsFront {
   net::Address listen;
-  std::string apex, server_name;  // each with its closing dot
+  std::string apex, server_name;  // absolute names, with the dot at the end
   std::chrono::seconds max_ttl{};
   Nanos flight{};
   std::size_t threads = 1;
   std::size_t max_udp_bytes = 1232;
   std::size_t max_connections = 64;
-  double answers_per_second = 0;  // by UDP to one address
+  double answers_per_second = 0;  // limit of UDP responses to one address
 };
 
 struct FilesFront {
-  bool envoy = true;  // else an upstream list
+  bool envoy = true;  // false: an nginx upstream block
   std::size_t threads = 8;
-  Nanos patience{std::chrono::seconds(1)};  // with one push
-  Nanos renew{std::chrono::seconds(1)};     // between signs of life
-  Nanos lease{std::chrono::seconds(5)};     // of a table, without one
-  std::size_t keep = 5;                     // generations
+  Nanos patience{std::chrono::seconds(1)};  // time limit of a push
+  Nanos renew{std::chrono::seconds(1)};     // interval between lease renewals
+  Nanos lease{std::chrono::seconds(5)};     // time without a renewal after which tables are stale
+  std::size_t keep = 5;                     // number of generations kept in the folder
   bool reader_confirms = true;
 };
 
@@ -88,23 +90,23 @@
   FilesFront files;
   Record record;
   Logging logging;
-  std::string text;  // that it was read from
+  std::string text;  // XML that the configuration was read from
 };
 
-// As the module is to have them, in the program.
+// Returns the settings for the policy module as the program runs it.
 Settings module_settings(const Config& config);
 
-// By which clients of DNS are held to the grace.
+// Returns the limits from which DNS TTLs are derived, so that clients keep to the drain grace.
 dns::ClientTtlLimits client_limits(const Config& config);
 
-// As written in configurations, reports and probes' answers.
-const char* name_of(LoadMetric column);
+// Returns the name used in configurations, reports and health check responses.
+const char* name_of(LoadMetric metric);
 
-// Throws Faulty.
+// Throws ConfigError. `label` names the source in messages.
 Config parse_config(std::string_view text, const std::string& label);
 Config read_config(const std::string& path);
 
-// By its name; empty if there is none.
+// Returns the proxy of a name; empty if there is none.
 std::optional<ProxyId> find_proxy(const Config& config, std::string_view name);
 
 }  // namespace ospreypost::config
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -13,37 +13,37 @@
 namespace ospreypost::config {
 namespace {
 
-constexpr std::size_t kMostBytes = std::size_t{16} << 20;
+constexpr std::size_t kMaxBytes = std::size_t{16} << 20;
 
 struct Faults {
   std::string label, text;
   int count = 0;
 };
 
-void note(void* to, xmlErrorPtr error) {
-  constexpr int most = 20;  // of a file that is wrong throughout
-  auto& faults = *static_cast<Faults*>(to);
-  if (++faults.count > most) return;
+void record_error(void* context, xmlErrorPtr error) {
+  constexpr int max_listed = 20;  // maximum number of faults listed in the message
+  auto& faults = *static_cast<Faults*>(context);
+  if (++faults.count > max_listed) return;
   std::string message = error->message ? error->message : "unreadable";
   while (!message.empty() && (message.back() == '\n' || message.back() == ' ')) message.pop_back();
   if (!faults.text.empty()) faults.text += '\n';
   faults.text += faults.label + ":" + std::to_string(error->line) + ": " + message;
 }
 
-// libxml2 keeps its error handler by thread; ours is there for one call only.
-class Listening {
+// Sets the error handler of libxml2, which is kept per thread, and resets it at the end of the scope.
+class ErrorHandlerScope {
  public:
-  explicit Listening(Faults& faults) { xmlSetStructuredErrorFunc(&faults, note); }
-  ~Listening() { xmlSetStructuredErrorFunc(nullptr, nullptr); }
-  Listening(const Listening&) = delete;
-  Listening& operator=(const Listening&) = delete;
+  explicit ErrorHandlerScope(Faults& faults) { xmlSetStructuredErrorFunc(&faults, record_error); }
+  ~ErrorHandlerScope() { xmlSetStructuredErrorFunc(nullptr, nullptr); }
+  ErrorHandlerScope(const ErrorHandlerScope&) = delete;
+  ErrorHandlerScope& operator=(const ErrorHandlerScope&) = delete;
 };
 
-template <auto Free>
-struct Freed {
+template <auto free_function>
+struct Deleter {
   template <typename T>
-  void operator()(T* it) const {
-    Free(it);
+  void operator()(T* resource) const {
+    free_function(resource);
   }
 };
 
@@ -54,31 +54,32 @@
 }  // namespace
 
 struct Document::Parsed {
-  std::unique_ptr<xmlDoc, Freed<xmlFreeDoc>> document;
+  std::unique_ptr<xmlDoc, Deleter<xmlFreeDoc>> document;
   std::string label;
 };
 
 Document::Document(std::string_view text, const std::string& label, std::string_view schema)
     : parsed_(std::make_unique<Parsed>()) {
-  if (text.size() > kMostBytes) throw ConfigError(label + ": longer than 16 MiB");
+  if (text.size() > kMaxBytes) throw ConfigError(label + ": longer than 16 MiB");
   Faults faults{label, {}};
-  const Listening listening(faults);
-  // No network, no entities from outside; the parser's own limits against blown-up entities stay on.
+  const ErrorHandlerScope error_handler(faults);
+  // Loads nothing from the network and no external entities. The parser's own limits on the expansion of
+  // entities stay on.
   parsed_->document.reset(xmlReadMemory(text.data(), static_cast<int>(text.size()), label.c_str(), nullptr,
                                         XML_PARSE_NONET | XML_PARSE_BIG_LINES));
   if (!parsed_->document) throw ConfigError(faults.text.empty() ? label + ": no XML" : faults.text);
   parsed_->document->_private = &parsed_->label;
   parsed_->label = label;
-  const std::unique_ptr<xmlSchemaParserCtxt, Freed<xmlSchemaFreeParserCtxt>> reader(
+  const std::unique_ptr<xmlSchemaParserCtxt, Deleter<xmlSchemaFreeParserCtxt>> schema_parser(
       xmlSchemaNewMemParserCtxt(schema.data(), static_cast<int>(schema.size())));
-  const std::unique_ptr<xmlSchema, Freed<xmlSchemaFree>> rules(xmlSchemaParse(reader.get()));
-  if (!rules) throw ConfigError("the schema itself: " + faults.text);
-  const std::unique_ptr<xmlSchemaValidCtxt, Freed<xmlSchemaFreeValidCtxt>> check(
-      xmlSchemaNewValidCtxt(rules.get()));
-  xmlSchemaSetValidStructuredErrors(check.get(), note, &faults);
-  xmlSchemaSetValidOptions(check.get(), XML_SCHEMA_VAL_VC_I_CREATE);  // fills in the defaults
-  if (xmlSchemaValidateDoc(check.get(), parsed_->document.get()) != 0 || faults.count > 0)
-    throw ConfigError(faults.text.empty() ? label + ": does not fit the schema" : faults.text);
+  const std::unique_ptr<xmlSchema, Deleter<xmlSchemaFree>> parsed_schema(xmlSchemaParse(schema_parser.get()));
+  if (!parsed_schema) throw ConfigError("the built-in schema is invalid: " + faults.text);
+  const std::unique_ptr<xmlSchemaValidCtxt, Deleter<xmlSchemaFreeValidCtxt>> validator(
+      xmlSchemaNewValidCtxt(parsed_schema.get()));
+  xmlSchemaSetValidStructuredErrors(validator.get(), record_error, &faults);
+  xmlSchemaSetValidOptions(validator.get(), XML_SCHEMA_VAL_VC_I_CREATE);  // adds the schema's default values
+  if (xmlSchemaValidateDoc(validator.get(), parsed_->document.get()) != 0 || faults.count > 0)
+    throw ConfigError(faults.text.empty() ? label + ": does not match the schema" : faults.text);
 }
 
 Document::~Document() = default;
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -1,4 +1,4 @@
-// Reads an XML file and checks it against a schema that ships with the program, by libxml2.
+// Reads XML and validates it against a schema that ships with the program, using libxml2.
 #pragma once
 
 #include <functional>
@@ -13,26 +13,26 @@
 
 namespace ospreypost::config {
 
-// The message names file, line, element and what would be right; one line for each fault.
+// The message has a line for each fault, with the file, the line, the element and what was expected.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One element of a checked document. Valid as long as the document lives.
+// An element of a validated document. Valid for the lifetime of the document.
 class Element {
  public:
   explicit Element(void* node) : node_(node) {}
   std::string name() const;
   int line() const;
-  // The attribute's text, or its default by the schema; throws Faulty where there is neither.
+  // Returns the attribute's text, or its default from the schema. Throws ConfigError if there is neither.
   std::string text(const char* attribute) const;
   std::optional<std::string> find(const char* attribute) const;
   double number(const char* attribute) const;
   bool yes(const char* attribute) const;
   Nanos time(const char* attribute) const;
   std::vector<std::string> words(const char* attribute) const;
-  // Throws Faulty where there is none.
+  // Returns the first child element of a name. Throws ConfigError if there is none.
   Element child(const char* name) const;
   std::optional<Element> find_child(const char* name) const;
   std::vector<Element> children() const;
@@ -45,11 +45,12 @@
 
 class Document {
  public:
-  // Throws Faulty. `label` names the source in messages; the text is at most 16 MiB long.
+  // Throws ConfigError if the text is malformed, invalid or longer than 16 MiB. `label` names the source in
+  // messages.
   Document(std::string_view text, const std::string& label, std::string_view schema);
   ~Document();
   Element root() const;
-  // As it stands now, with the schema's defaults.
+  // Returns the document as XML, with the changes made by Element::set and the schema's defaults.
   std::string text() const;
 
  private:
@@ -57,10 +58,10 @@
   std::unique_ptr<Parsed> parsed_;
 };
 
-// Throws Faulty if the file cannot be read.
+// Throws ConfigError if the file cannot be read or is empty.
 std::string read_file(const std::string& path);
 
-// "250 ms", "1.5 s"; empty if it is none.
+// Parses a duration such as "250 ms" or "1.5 s"; returns empty if the text is not a duration.
 std::optional<Nanos> parse_duration(std::string_view text);
 
 }  // namespace ospreypost::config
--- a/src/files/generation.h
+++ b/src/files/generation.h
@@ -1,11 +1,10 @@
-// One generation of a proxy's tables: all files that belong together, with version and checksum, as it
-// travels and as it lies in a folder.
+// A generation: one version of all table files of a proxy, with its checksum, as it is sent and stored.
 //
-//   FOLDER/current -> gen-EPOCH-VERSION     swapped by one rename
-//   FOLDER/gen-EPOCH-VERSION/manifest.json, and the files it names
-//   FOLDER/newest                           after a way back: what was ever the newest
-//   FOLDER/applied                          what the reader goes by, in its own words
-//   FOLDER/spoken                           touched by whoever may order, while it lives
+//   FOLDER/current -> gen-EPOCH-VERSION     symbolic link; replaced by one rename
+//   FOLDER/gen-EPOCH-VERSION/manifest.json  lists the table files that are stored beside it
+//   FOLDER/newest                           after a rollback: the newest generation ever accepted
+//   FOLDER/applied                          the generation that the reader uses; written by the reader
+//   FOLDER/spoken                           touched by the control plane instance to renew the lease
 #pragma once
 
 #include <cstdint>
@@ -16,7 +15,8 @@
 
 namespace ospreypost::files {
 
-// Orders of a higher epoch go before all of a lower one; within one, the higher version is the newer.
+// A generation of a higher epoch is newer than all generations of a lower epoch. Within an epoch, the higher
+// version is newer.
 struct GenerationId {
   std::uint64_t epoch = 0, version = 0;
   auto operator<=>(const GenerationId&) const = default;
@@ -24,19 +24,20 @@
 
 struct Generation {
   GenerationId stamp;
-  std::string owner;  // the process that ordered it; of one epoch only one can
+  std::string owner;  // process that made the generation; an epoch has one owner
   std::size_t lines = 0;
-  std::uint64_t lease_ms = 0;      // without a sign of life after which the tables are stale
-  std::vector<std::string> names;  // replicas that its tables send to
-  std::vector<std::string> out;    // replicas that are withdrawn, draining or gone now
+  std::uint64_t lease_ms = 0;      // time without a renewal by the owner after which the tables are stale
+  std::vector<std::string> names;  // replicas that the tables list
+  std::vector<std::string>
+      excluded;  // replicas that are ejected, draining or removed; a rollback must not restore them
   std::map<std::string, std::string>
-      files;  // text by name: letters, digits, '-', '_', and one of .json or .conf
+      files;  // contents by file name: letters, digits, '-', '_', then .json or .conf
 };
 
-// With a checksum (XXH3, 64 bits) over all the rest.
+// Returns the generation as JSON, with a checksum (XXH3, 64 bits) over all other fields.
 std::string write_generation(const Generation& generation);
-// Throws net::Error with one line that names what does not fit: truncated, altered, oversized, or a name that
-// climbs out of the folder.
+// Throws net::Error with a one-line message if the text is truncated, altered or longer than 16 MiB, or if a
+// file name could refer to a path outside the folder.
 Generation read_generation(std::string_view text);
 
 }  // namespace ospreypost::files
--- a/src/files/pusher.h
+++ b/src/files/pusher.h
@@ -1,4 +1,5 @@
-// The front that pushes: renders what stands for a proxy, and brings it to its folder or its receiver.
+// Pushes tables: renders the tables of a proxy into a generation, and delivers the generation to the proxy's
+// folder or receiver.
 #pragma once
 
 #include <condition_variable>
@@ -13,7 +14,7 @@
 
 namespace ospreypost::files {
 
-// The generation that carries a push.
+// Renders the tables of a push into a generation.
 Generation generation_of(const config::Config& config, const delivery::PushMessage& push);
 
 class Pusher : public delivery::PushListener {
@@ -23,29 +24,31 @@
   void on_push_available() override;
   void stop();
 
-  // By hand. What lies at a proxy; throws net::Error if nobody there can say, or it has neither folder nor
-  // receiver.
+  // Returns the state of a proxy's folder, for operators. Throws net::Error if the receiver does not answer,
+  // or if the proxy has neither a folder nor a receiver.
   State fetch_state(ProxyId proxy);
-  // Throws net::Error saying why not. `out`: whom nobody may send to.
-  State roll_back(ProxyId proxy, std::uint64_t version, const std::vector<std::string>& out);
+  // Makes a kept version current again. Throws net::Error with the reason if that is rejected. `excluded`:
+  // replicas that the version must not list.
+  State roll_back(ProxyId proxy, std::uint64_t version, const std::vector<std::string>& excluded);
 
  private:
   void schedule();
-  void carry(const delivery::PushMessage& push);
-  // A sign of life, if a speaker is given.
-  State state_of(ProxyId proxy, const delivery::PushMessage* speaker, net::Deadline until);
-  GenerationShelf* shelf_of(const config::ProxyEntry& proxy);
-  std::pair<Delivery, State> deliver(const delivery::PushMessage& push, net::Deadline until);
+  void process(const delivery::PushMessage& push);
+  // Returns the state of a proxy's folder; first renews the lease for the epoch and owner of `renewal`, if
+  // given.
+  State state_of(ProxyId proxy, const delivery::PushMessage* renewal, net::Deadline deadline);
+  LeasedStore* local_store_of(const config::ProxyEntry& proxy);
+  std::pair<Delivery, State> deliver(const delivery::PushMessage& push, net::Deadline deadline);
 
   const config::Config& config_;
   delivery::PushService& core_;
-  std::map<std::string, std::unique_ptr<GenerationShelf>> shelves_;  // by folder, of this host
+  std::map<std::string, std::unique_ptr<LeasedStore>> local_stores_;  // by path; folders on this host
   std::mutex lock_;
   std::condition_variable changed_;
   bool stopping_ = false;
-  bool looked_ = false;   // since something was ordered or came back
-  std::size_t busy_ = 0;  // carriers
-  std::unique_ptr<net::ThreadPool> carriers_;
+  bool checked_ = false;          // no push became available or finished since the last check of `core_`
+  std::size_t busy_workers_ = 0;  // number of pushes being processed
+  std::unique_ptr<net::ThreadPool> workers_;
   net::Thread scheduler_;
 };
 
--- a/src/files/receiver.cpp
+++ b/src/files/receiver.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using json = nlohmann::ordered_json;
 
-constexpr auto kLook = 5ms;  // for the reader's word
+constexpr auto kReaderPollInterval = 5ms;  // between two checks of the file `applied`
 constexpr std::size_t kConnections = 16;
 
 http::Limits limits() {
@@ -20,8 +20,8 @@
   return limits;
 }
 
-// "?epoch=E&owner=O"
-bool read_speaker(std::string_view query, std::uint64_t& epoch, std::string& owner) {
+// Parses "?epoch=E&owner=O".
+bool parse_lease_holder(std::string_view query, std::uint64_t& epoch, std::string& owner) {
   constexpr std::string_view head = "?epoch=", then = "&owner=";
   if (!query.starts_with(head)) return false;
   query.remove_prefix(head.size());
@@ -32,7 +32,7 @@
   return !owner.empty();
 }
 
-http::Response said(unsigned status, const std::string& what) {
+http::Response text_response(unsigned status, const std::string& what) {
   return {status, "text/plain", what + "\n", std::nullopt, true};
 }
 
@@ -72,126 +72,130 @@
       state.kept.push_back({pair.at(0).get<std::uint64_t>(), pair.at(1).get<std::uint64_t>()});
     return state;
   } catch (const nlohmann::json::exception&) {
-    throw net::Error("that is no receiver's state");
+    throw net::Error("the response is not a receiver's state");
   }
 }
 
-GenerationShelf::GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
-                                 std::function<void(const char*)> step)
-    : folder_(std::move(folder), keep, std::move(step)), reader_confirms_(reader_confirms) {
+LeasedStore::LeasedStore(std::string folder, std::size_t keep, bool reader_confirms,
+                         std::function<void(const char*)> step)
+    : store_(std::move(folder), keep, std::move(step)), reader_confirms_(reader_confirms) {
   try {
-    if (const auto current = folder_.current()) lease_ = std::chrono::milliseconds(current->lease_ms);
+    if (const auto current = store_.current()) lease_ = std::chrono::milliseconds(current->lease_ms);
   } catch (const net::Error&) {
-    // Damaged: there is no lease to keep.
+    // The current generation is damaged, so it has no lease.
   }
 }
 
-void GenerationShelf::renew(std::uint64_t epoch, const std::string& owner) {
+void LeasedStore::renew(std::uint64_t epoch, const std::string& owner) {
   const std::lock_guard held(lock_);
-  const auto newest = folder_.newest_owned();
-  if (newest && newest->stamp.epoch == epoch && newest->owner == owner) folder_.touch();
+  const auto newest = store_.newest_owned();
+  if (newest && newest->stamp.epoch == epoch && newest->owner == owner) store_.touch_lease_file();
 }
 
-bool GenerationShelf::is_stale() {
-  const auto touched = folder_.touched();
-  if (touched != touched_) touched_ = touched, spoke_ = net::Steady::now();
-  return lease_ > 0ms && net::Steady::now() > spoke_ + lease_;
+bool LeasedStore::is_stale() {
+  const auto lease_file_time = store_.lease_file_time();
+  if (lease_file_time != last_lease_file_time_)
+    last_lease_file_time_ = lease_file_time, last_renewal_ = net::Steady::now();
+  return lease_ > 0ms && net::Steady::now() > last_renewal_ + lease_;
 }
 
-bool GenerationShelf::confirmed(const GenerationId& stamp) const {
-  return !reader_confirms_ || folder_.applied().value_or(GenerationId{}) == stamp;
+bool LeasedStore::is_applied(const GenerationId& stamp) const {
+  return !reader_confirms_ || store_.applied().value_or(GenerationId{}) == stamp;
 }
 
-Delivery GenerationShelf::put(const Generation& generation, bool recall, net::Deadline until) {
+Delivery LeasedStore::put(const Generation& generation, bool recall, net::Deadline deadline) {
   {
     const std::lock_guard held(lock_);
-    if (folder_.take(generation, recall) == StoreResult::older) return Delivery::older;
-    folder_.touch();
+    if (store_.store(generation, recall) == StoreResult::older) return Delivery::older;
+    store_.touch_lease_file();
     lease_ = std::chrono::milliseconds(generation.lease_ms);
   }
-  // The reader looks by itself; the files are whole whenever it does.
-  while (!confirmed(generation.stamp)) {
-    if (net::Steady::now() >= until) return Delivery::unconfirmed;
-    std::this_thread::sleep_for(kLook);
+  // The reader polls the folder itself; the files are intact whenever it reads them.
+  while (!is_applied(generation.stamp)) {
+    if (net::Steady::now() >= deadline) return Delivery::unconfirmed;
+    std::this_thread::sleep_for(kReaderPollInterval);
   }
-  return Delivery::taken;
+  return Delivery::accepted;
 }
 
-State GenerationShelf::state() {
+State LeasedStore::state() {
   const std::lock_guard held(lock_);
   State state;
-  if (const auto newest = folder_.newest_owned()) state.newest = *newest, state.any = true;
+  if (const auto newest = store_.newest_owned()) state.newest = *newest, state.any = true;
   try {
-    if (const auto current = folder_.current()) {
+    if (const auto current = store_.current()) {
       state.stored = current->stamp;
       state.any = true;
       if (current->stamp != state.newest.stamp) state.instead = current->names;
     }
   } catch (const net::Error&) {
-    state.any = true;  // something lies there, and may be gone by
+    state.any = true;  // a damaged generation is stored, and the reader may use it
   }
-  state.applied = folder_.applied().value_or(GenerationId{});
+  state.applied = store_.applied().value_or(GenerationId{});
   state.stale = is_stale();
-  state.kept = folder_.kept();
+  state.kept = store_.kept();
   return state;
 }
 
-// Guards against bringing back what was drained since: whoever is out by the newest word stays out.
-void GenerationShelf::roll_back(std::uint64_t version, const std::vector<std::string>& out) {
+// Rejects versions that list a replica excluded since, so that a rollback restores no drained replica.
+void LeasedStore::roll_back(std::uint64_t version, const std::vector<std::string>& excluded) {
   const std::lock_guard held(lock_);
-  folder_.roll_back(version, out);
+  store_.roll_back(version, excluded);
 }
 
 Receiver::Receiver(const ReceiverOptions& options)
     : options_(options),
-      shelf_(options.folder, options.keep, options.reader_confirms),
+      store_(options.folder, options.keep, options.reader_confirms),
       server_(
           "receiver", options.listen, limits(), kConnections,
           [this](const http::Request& request) { return answer(request); }, [](const std::string&) {}) {}
 
 http::Response Receiver::answer(const http::Request& request) {
-  constexpr std::string_view look = "/state";
-  if (request.target.starts_with(look) && request.method == "GET") {
+  constexpr std::string_view state_path = "/state";
+  if (request.target.starts_with(state_path) && request.method == "GET") {
     std::uint64_t epoch = 0;
     std::string owner;
-    if (request.target.size() > look.size() &&
-        !read_speaker(request.target.substr(look.size()), epoch, owner))
-      return said(400, "no epoch and owner");
-    if (!owner.empty()) shelf_.renew(epoch, owner);
-    return {200, "application/json", write_state(shelf_.state()), std::nullopt, true};
+    if (request.target.size() > state_path.size() &&
+        !parse_lease_holder(request.target.substr(state_path.size()), epoch, owner))
+      return text_response(400, "the query has no epoch and owner");
+    if (!owner.empty()) store_.renew(epoch, owner);
+    return {200, "application/json", write_state(store_.state()), std::nullopt, true};
   }
-  constexpr std::string_view rollback = "/rollback?version=";
-  if (request.target.starts_with(rollback) && request.method == "POST") {
+  constexpr std::string_view rollback_path = "/rollback?version=";
+  if (request.target.starts_with(rollback_path) && request.method == "POST") {
     std::uint64_t version = 0;
-    const auto* begin = request.target.data() + rollback.size();
+    const auto* begin = request.target.data() + rollback_path.size();
     const auto* end = request.target.data() + request.target.size();
-    if (std::from_chars(begin, end, version).ptr != end || begin == end) return said(400, "no version");
-    const auto out = request.body.empty() ? json::array() : json::parse(request.body, nullptr, false);
-    if (!out.is_array() ||
-        !std::all_of(out.begin(), out.end(), [](const json& name) { return name.is_string(); }))
-      return said(400, "the body is no array of names");
+    if (std::from_chars(begin, end, version).ptr != end || begin == end)
+      return text_response(400, "the query has no version");
+    const auto excluded = request.body.empty() ? json::array() : json::parse(request.body, nullptr, false);
+    if (!excluded.is_array() ||
+        !std::all_of(excluded.begin(), excluded.end(), [](const json& name) { return name.is_string(); }))
+      return text_response(400, "the body is not an array of names");
     try {
-      shelf_.roll_back(version, out.get<std::vector<std::string>>());
-      return {200, "application/json", write_state(shelf_.state()), std::nullopt, true};
+      store_.roll_back(version, excluded.get<std::vector<std::string>>());
+      return {200, "application/json", write_state(store_.state()), std::nullopt, true};
     } catch (const net::Error& error) {
-      return said(409, error.what());
+      return text_response(409, error.what());
     }
   }
   const bool recall = request.target == "/generation?recall";
   if ((request.target != "/generation" && !recall) || request.method != "PUT")
-    return said(404, "PUT /generation or GET /state");
+    return text_response(404, "unknown request; expected PUT /generation, GET /state or POST /rollback");
   Generation generation;
   try {
     generation = read_generation(request.body);
   } catch (const net::Error& error) {
-    return said(400, error.what());
+    return text_response(400, error.what());
   }
   try {
-    const auto delivery = shelf_.put(generation, recall, net::Steady::now() + options_.confirm_within);
-    const unsigned status = delivery == Delivery::taken ? 200 : delivery == Delivery::unconfirmed ? 202 : 409;
-    return {status, "application/json", write_state(shelf_.state()), std::nullopt, true};
+    const auto delivery = store_.put(generation, recall, net::Steady::now() + options_.confirm_within);
+    const unsigned status = delivery == Delivery::accepted      ? 200
+                            : delivery == Delivery::unconfirmed ? 202
+                                                                : 409;
+    return {status, "application/json", write_state(store_.state()), std::nullopt, true};
   } catch (const net::Error& error) {
-    return said(507, error.what());
+    return text_response(507, error.what());
   }
 }
 
--- a/src/files/receiver.h
+++ b/src/files/receiver.h
@@ -1,14 +1,12 @@
-// What stands before a proxy's folder: takes generations, verifies, stores and swaps them, and answers when
-// the reader goes by them. Over HTTP:
+// Receives generations for a proxy's folder: verifies and stores a generation, makes it current, and answers
+// once the reader uses the generation. Over HTTP:
 //
-//   PUT  /generation[?recall]    200 taken; 202 stored, but its reader has not confirmed; 400 it does not
-//   fit;
-//                                409 something newer was taken; 507 it cannot be stored
-//   GET  /state                  what is stored, gone by and kept, in JSON
-//   GET  /state?epoch=E&owner=O  the same; from whom the newest is, it is a sign of life
-//   POST /rollback?version=N     200; 409 it is not kept, or would bring back a replica that must stay out;
-//   the body may
-//                                name more of them, as a JSON array
+//   PUT  /generation[?recall]    200 accepted; 202 stored, but the reader has not confirmed; 400 malformed;
+//                                409 a newer generation was accepted; 507 the generation cannot be stored
+//   GET  /state                  the stored, applied and kept generations, in JSON
+//   GET  /state?epoch=E&owner=O  the same; renews the lease if the newest generation has this epoch and owner
+//   POST /rollback?version=N     200; 409 the version is not kept, or lists an excluded replica;
+//                                the body may name more excluded replicas, as a JSON array
 #pragma once
 
 #include <atomic>
@@ -29,46 +27,47 @@
   net::Steady::duration confirm_within = std::chrono::milliseconds(800);
 };
 
-// What a folder and its reader are at; as /state says it.
+// State of a folder and its reader, as GET /state returns it.
 struct State {
   GenerationId stored, applied;
-  GenerationStore::Newest newest;    // as `stored`, but after a way back
-  std::vector<std::string> instead;  // after a way back: the replicas of `stored`
-  bool any = false;                  // something is stored
-  bool stale = false;                // nobody who may order has spoken within the lease
+  GenerationStore::Newest newest;    // equals `stored`, except after a rollback
+  std::vector<std::string> instead;  // after a rollback: the replicas that `stored` lists
+  bool any = false;                  // a generation is stored, intact or not
+  bool stale = false;                // the owner has not renewed the lease in time
   std::vector<GenerationId> kept;
 };
 std::string write_state(const State& state);
 State read_state(const std::string& text);  // throws net::Error
 
-// What became of a push.
-enum class Delivery { taken, unconfirmed, older };
+// Result of a push.
+enum class Delivery { accepted, unconfirmed, older };
 
-// A folder with the lease of its table and the word of its reader; used by the receiver, and by the governor
-// for folders on its own host.
-class GenerationShelf {
+// A generation store with the lease of its tables and the confirmations of its reader. Used by the receiver,
+// and by the control plane instance for folders on its own host.
+class LeasedStore {
  public:
-  GenerationShelf(std::string folder, std::size_t keep, bool reader_confirms,
-                  std::function<void(const char*)> step = {});
-  // Waits for the reader until the deadline. Throws net::Error if it cannot be stored.
-  Delivery put(const Generation& generation, bool recall, net::Deadline until);
-  // A sign of life: the lease runs anew if the newest is of that epoch and owner.
+  LeasedStore(std::string folder, std::size_t keep, bool reader_confirms,
+              std::function<void(const char*)> step = {});
+  // Stores a generation, then waits until the deadline for the reader to use it. Throws net::Error if the
+  // generation cannot be stored.
+  Delivery put(const Generation& generation, bool recall, net::Deadline deadline);
+  // Renews the lease if the newest generation has this epoch and owner.
   void renew(std::uint64_t epoch, const std::string& owner);
   State state();
-  // Throws net::Error saying why not.
-  void roll_back(std::uint64_t version, const std::vector<std::string>& out);
+  // Makes a kept version current again. Throws net::Error with the reason if that is rejected.
+  void roll_back(std::uint64_t version, const std::vector<std::string>& excluded);
 
  private:
-  bool confirmed(const GenerationId& stamp) const;
+  bool is_applied(const GenerationId& stamp) const;
   bool is_stale();
 
-  GenerationStore folder_;
+  GenerationStore store_;
   const bool reader_confirms_;
   std::mutex lock_;
-  // When a change of the sign was seen last: no wall clock, which may jump, and no matter which process left
-  // it.
-  net::Steady::time_point spoke_ = net::Steady::now();
-  std::int64_t touched_ = 0;
+  // Time at which this process last noticed a renewal by any process. Steady time, since the wall clock may
+  // jump.
+  net::Steady::time_point last_renewal_ = net::Steady::now();
+  std::int64_t last_lease_file_time_ = 0;
   std::chrono::milliseconds lease_{0};
 };
 
@@ -82,7 +81,7 @@
   http::Response answer(const http::Request& request);
 
   const ReceiverOptions options_;
-  GenerationShelf shelf_;
+  LeasedStore store_;
   http::Server server_;
 };
 
--- a/src/files/render.cpp
+++ b/src/files/render.cpp
@@ -10,29 +10,29 @@
 
 using json = nlohmann::ordered_json;
 
-constexpr double kWeightUnits = 1000;  // of the heaviest line; both forms take whole numbers
+constexpr double kWeightUnits = 1000;  // weight of the heaviest entry; both formats take whole numbers
 
-std::uint32_t units(double weight, double heaviest) {
-  return static_cast<std::uint32_t>(std::max(1.0, std::round(weight / heaviest * kWeightUnits)));
+std::uint32_t weight_units(double weight, double max_weight) {
+  return static_cast<std::uint32_t>(std::max(1.0, std::round(weight / max_weight * kWeightUnits)));
 }
 
-double heaviest(const std::vector<Endpoint>& endpoints) {
-  double most = 1e-300;
-  for (const auto& endpoint : endpoints) most = std::max(most, endpoint.weight);
-  return most;
+double max_weight_of(const std::vector<Endpoint>& endpoints) {
+  double max_weight = 1e-300;
+  for (const auto& endpoint : endpoints) max_weight = std::max(max_weight, endpoint.weight);
+  return max_weight;
 }
 
 }  // namespace
 
 std::string render_envoy(const std::string& cluster, const std::vector<Endpoint>& endpoints,
                          const Terms& terms) {
-  const double most = heaviest(endpoints);
-  // The weights of the table hold across zones already, so all localities share one priority: a second one
-  // would send nothing to other zones while the own one is well, against the table.
+  const double max_weight = max_weight_of(endpoints);
+  // The weights of the table hold across zones, so all localities share one priority: with a second priority
+  // a proxy would send nothing to other zones while its own zone is healthy, against the table.
   std::map<std::string, std::pair<std::uint32_t, json>> zones;
   for (const auto& endpoint : endpoints) {
     auto& [sum, lines] = zones[endpoint.zone];
-    const auto weight = units(endpoint.weight, most);
+    const auto weight = weight_units(endpoint.weight, max_weight);
     sum += weight;
     lines.push_back({{"endpoint",
                       {{"address",
@@ -42,14 +42,14 @@
                      {"load_balancing_weight", weight}});
   }
   json localities = json::array();
-  for (auto& [zone, of] : zones) {
+  for (auto& [zone, locality] : zones) {
     localities.push_back({{"locality", {{"zone", zone}}},
                           {"priority", 0},
-                          {"load_balancing_weight", of.first},
-                          {"lb_endpoints", std::move(of.second)}});
+                          {"load_balancing_weight", locality.first},
+                          {"lb_endpoints", std::move(locality.second)}});
   }
   constexpr const char* type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-  // A share that is not let in is dropped by the proxy itself, which is what level means.
+  // The proxy itself drops the fraction of requests that the level does not admit.
   const auto dropped = static_cast<std::uint32_t>(std::lround((1 - terms.level) * 1e6));
   json policy = {{"drop_overloads", json::array()}};
   if (dropped > 0) {
@@ -66,16 +66,17 @@
 
 std::string render_upstream(const std::string& name, const std::vector<Endpoint>& endpoints,
                             const Terms& terms) {
-  const double most = heaviest(endpoints);
+  const double max_weight = max_weight_of(endpoints);
   char level[32];
   std::snprintf(level, sizeof(level), "%.4f", terms.level);
   std::string text = "# version=" + std::to_string(terms.version) + " level=" + level +
                      " retry=" + terms.retry + "\nupstream " + name + " {\n";
   for (const auto& endpoint : endpoints) {
     text += "    server " + endpoint.address.text() +
-            " weight=" + std::to_string(units(endpoint.weight, most)) + ";  # " + endpoint.name + "\n";
+            " weight=" + std::to_string(weight_units(endpoint.weight, max_weight)) + ";  # " + endpoint.name +
+            "\n";
   }
-  if (endpoints.empty()) text += "    server 127.0.0.1:1 down;  # nobody may be sent to\n";
+  if (endpoints.empty()) text += "    server 127.0.0.1:1 down;  # table without endpoints\n";
   return text + "}\n";
 }
 
--- a/src/files/render.h
+++ b/src/files/render.h
@@ -1,4 +1,4 @@
-// Tables in the forms that plain proxies read from files.
+// Renders routing tables in the file formats of plain proxies.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,26 @@
 struct Endpoint {
   std::string name, zone;
   net::Address address;
-  double weight = 0;  // above 0
+  double weight = 0;  // greater than 0
 };
 
-// What a table file carries beside its lines.
+// Contents of a table file besides its entries.
 struct Terms {
   std::uint64_t version = 0;
   double level = 1;
   std::string retry = "none";
 };
 
-// A DiscoveryResponse with one ClusterLoadAssignment, as Envoy's documentation of file-based endpoint
-// discovery gives it: localities by zone, all of priority 0, as the table's weights hold across zones
-// already; load_balancing_weight is a whole number of at least 1, and what the level does not let in is a
+// Returns a DiscoveryResponse with one ClusterLoadAssignment, as Envoy's documentation of file-based endpoint
+// discovery specifies. Localities are zones, all of priority 0, as the weights of the table hold across
+// zones. load_balancing_weight is a whole number of at least 1; the rejected fraction (1 - level) is a
 // drop_overload.
 std::string render_envoy(const std::string& cluster, const std::vector<Endpoint>& endpoints,
                          const Terms& terms);
 
-// An `upstream` block with a weight for each server, as nginx's documentation gives it; terms as comments.
-// Whoever has nothing to send to gets one server that is marked down, as the block may not be empty.
+// Returns an `upstream` block with a weight for each server, as nginx's documentation specifies; the terms
+// are comments. A table without endpoints gets one server that is marked down, as the block must not be
+// empty.
 std::string render_upstream(const std::string& name, const std::vector<Endpoint>& endpoints,
                             const Terms& terms);
 
--- a/src/terms/deployment.h
+++ b/src/terms/deployment.h
@@ -1,4 +1,4 @@
-// What a played day needs to know of a configuration.
+// Derives the deployment that a simulated day runs from a configuration.
 #pragma once
 
 #include "config/config.h"
--- a/src/terms/limits.h
+++ b/src/terms/limits.h
@@ -1,4 +1,4 @@
-// What a configuration promises, as the judge measures it.
+// Derives the limits that the invariant checker checks from a configuration.
 #pragma once
 
 #include "checker/invariant_checker.h"
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -1,4 +1,4 @@
-// A faulty configuration says where and what.
+// The message about a faulty configuration names the place and the fault.
 #include "config/config.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   return "none";
 }
 
-TEST(Config, ReachesTheModulesSettings) {
+TEST(Config, FillsTheModuleSettings) {
   const auto config = test::small_config();
   EXPECT_EQ(config.settings.drain_grace, 3s);
   EXPECT_EQ(config.settings.max_messages_per_window, 12U);
@@ -32,7 +32,7 @@
   EXPECT_FALSE(config.proxies.known[2].vouched);
 }
 
-TEST(Config, NamesLineElementAndWhatWouldBeRight) {
+TEST(Config, ErrorsNameLineElementAndExpectation) {
   EXPECT_EQ(fault_of("", ""), "none");
   const auto missing = fault_of("<bare longest=\"5 s\"/>", "");
   EXPECT_TRUE(
@@ -46,21 +46,21 @@
   EXPECT_NE(zone.find("moon"), std::string::npos) << zone;
   EXPECT_EQ(
       fault_of("grace=\"3 s\"", "grace=\"1 s\""),
-      "file:21: element 'dns': the drain grace leaves no room for a lifetime of 1 s, the flight and the "
-      "roll's reading");
+      "file:21: element 'dns': the drain grace is too short for a TTL of 1 s, the flight and the interval "
+      "between reads of the roll");
   EXPECT_EQ(fault_of("abandon-time=\"2 s\"", "abandon-time=\"0.5 s\""),
             "file:5: element 'class': abandon-time must not be below target-time");
   EXPECT_TRUE(fault_of("</governor>", "").starts_with("file:23: "));
 }
 
-TEST(Config, ExpandsNoEntitiesFromOutside) {
+TEST(Config, ExpandsNoExternalEntities) {
   const auto text = fault_of("<governor name=\"test\"",
                              "<!DOCTYPE governor [<!ENTITY e SYSTEM \"file:///etc/hostname\">]>"
                              "<governor name=\"&e;\"");
   EXPECT_NE(text, "none");
 }
 
-TEST(Durations, CarryTheirUnit) {
+TEST(Durations, RequireAUnit) {
   EXPECT_EQ(parse_duration("250 ms"), 250ms);
   EXPECT_EQ(parse_duration("1.5s"), 1500ms);
   EXPECT_EQ(parse_duration("2 min"), 2min);
--- a/tests/program/files_test.cpp
+++ b/tests/program/files_test.cpp
@@ -1,5 +1,5 @@
-// Generations in folders: whole at any moment, whatever ends when; who may order, and what a reader makes of
-// it.
+// Generations in folders: the current generation is intact at any moment, also when a process exits or the
+// file system fails during a push; which owner may store generations; what a reader gets.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -33,7 +33,7 @@
   return made;
 }
 
-TEST(Generation, TravelsAndSaysWhatDoesNotFit) {
+TEST(Generation, RoundTripsAndNamesTheFault) {
   const auto text = write_generation(generation(7));
   EXPECT_EQ(read_generation(text).stamp, (GenerationId{1, 7}));
   const auto fault = [](const std::string& changed) {
@@ -47,125 +47,127 @@
   EXPECT_EQ(fault(text.substr(0, text.size() / 2)), "the generation is truncated, or no JSON object");
   auto altered = text;
   altered[altered.find("aaaa") == std::string::npos ? altered.find("hhhh") : altered.find("aaaa")] = 'x';
-  EXPECT_EQ(fault(altered), "the generation's checksum does not fit");
+  EXPECT_EQ(fault(altered), "the generation's checksum does not match its contents");
   for (const std::string name : {"../up.json", "a/b.json", "manifest.json", ".json", "x.sh"}) {
     auto climbing = generation(7);
     climbing.files[name] = "x";
-    EXPECT_EQ(fault(write_generation(climbing)), "the generation's file '" + name + "' is no plain name");
+    EXPECT_EQ(fault(write_generation(climbing)), "the generation's file '" + name + "' is not a plain name");
   }
 }
 
-// At each single step of a push its process dies at once; a reader finds the old or the new generation,
-// whole, and the next push goes through.
-TEST(GenerationStore, IsWholeAfterADeathAtAnyStep) {
+// A process exits at each step of a push in turn. A reader then finds the old or the new generation intact,
+// and the next push succeeds.
+TEST(GenerationStore, IsIntactAfterAnExitAtAnyStep) {
   int steps = 0;
-  for (int dies_at = 0;; ++dies_at) {
-    TemporaryFolder place;
-    GenerationStore(place.path, 3).take(generation(1));
-    GenerationStore(place.path, 3).take(generation(2));
+  for (int exit_at = 0;; ++exit_at) {
+    TemporaryFolder folder_on_disk;
+    GenerationStore(folder_on_disk.path, 3).store(generation(1));
+    GenerationStore(folder_on_disk.path, 3).store(generation(2));
     const pid_t child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
       int step = 0;
-      GenerationStore folder(place.path, 3, [&](const char*) {
-        if (step++ == dies_at) ::_exit(9);
+      GenerationStore folder(folder_on_disk.path, 3, [&](const char*) {
+        if (step++ == exit_at) ::_exit(9);
       });
-      folder.take(generation(3));
+      folder.store(generation(3));
       ::_exit(0);
     }
     int status = 0;
     ::waitpid(child, &status, 0);
-    const auto found = read_current(place.path);
+    const auto found = read_current(folder_on_disk.path);
     ASSERT_TRUE(found);
-    EXPECT_TRUE(found->stamp.version == 2 || found->stamp.version == 3) << dies_at;
-    GenerationStore again(place.path, 3);
-    again.take(generation(4));
-    EXPECT_EQ(read_current(place.path)->stamp.version, 4U);
-    EXPECT_LE(again.kept().size(), 3U);
+    EXPECT_TRUE(found->stamp.version == 2 || found->stamp.version == 3) << exit_at;
+    GenerationStore reopened(folder_on_disk.path, 3);
+    reopened.store(generation(4));
+    EXPECT_EQ(read_current(folder_on_disk.path)->stamp.version, 4U);
+    EXPECT_LE(reopened.kept().size(), 3U);
     if (WEXITSTATUS(status) == 0) break;
     ++steps;
   }
   EXPECT_GT(steps, 12);
 }
 
-// The same for file systems that fail: an error instead of a death, and the old generation stays.
-TEST(GenerationStore, KeepsWhatItHasWhenTheFileSystemFails) {
-  TemporaryFolder place;
-  GenerationStore(place.path, 3).take(generation(1));
+// A file system operation fails at each step of a push in turn. A reader then finds the old or the new
+// generation intact.
+TEST(GenerationStore, KeepsTheCurrentGenerationWhenTheFileSystemFails) {
+  TemporaryFolder folder_on_disk;
+  GenerationStore(folder_on_disk.path, 3).store(generation(1));
   bool failed = true;
   for (int fails_at = 0; failed; ++fails_at) {
     int step = 0;
     failed = false;
-    GenerationStore folder(place.path, 3, [&](const char* what) {
+    GenerationStore folder(folder_on_disk.path, 3, [&](const char* what) {
       if (step++ != fails_at) return;
       failed = true;
       throw net::Error(std::string("no space left: ") + what);
     });
-    const auto before = read_current(place.path)->stamp;
+    const auto before = read_current(folder_on_disk.path)->stamp;
     const auto next = generation(before.version + 1);
     if (!failed) {
       try {
-        folder.take(next);
+        folder.store(next);
       } catch (const net::Error&) {
       }
     }
-    const auto found = read_current(place.path);
+    const auto found = read_current(folder_on_disk.path);
     ASSERT_TRUE(found);
     EXPECT_TRUE(found->stamp == before || found->stamp == next.stamp);
   }
 }
 
-TEST(GenerationStore, TheLowerEpochLosesAndOldNewsIsRefused) {
-  TemporaryFolder place;
-  GenerationStore folder(place.path, 3);
-  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::swapped);
-  EXPECT_EQ(folder.take(generation(5, {"a"}, 2)), StoreResult::same);
-  EXPECT_EQ(folder.take(generation(9, {"a"}, 1)), StoreResult::older);
-  EXPECT_EQ(folder.take(generation(4, {"a"}, 2)), StoreResult::older);
-  EXPECT_EQ(folder.take(generation(1, {"a"}, 3)), StoreResult::swapped);
+TEST(GenerationStore, RefusesLowerEpochsAndOlderVersions) {
+  TemporaryFolder folder_on_disk;
+  GenerationStore folder(folder_on_disk.path, 3);
+  EXPECT_EQ(folder.store(generation(5, {"a"}, 2)), StoreResult::swapped);
+  EXPECT_EQ(folder.store(generation(5, {"a"}, 2)), StoreResult::same);
+  EXPECT_EQ(folder.store(generation(9, {"a"}, 1)), StoreResult::older);
+  EXPECT_EQ(folder.store(generation(4, {"a"}, 2)), StoreResult::older);
+  EXPECT_EQ(folder.store(generation(1, {"a"}, 3)), StoreResult::swapped);
   EXPECT_EQ(folder.current()->stamp, (GenerationId{3, 1}));
 }
 
-TEST(GenerationStore, OfOneEpochOnlyOneProcessOrders) {
-  TemporaryFolder place;
-  GenerationStore folder(place.path, 3);
-  folder.take(generation(5));
+TEST(GenerationStore, AcceptsOneOwnerInEachEpoch) {
+  TemporaryFolder folder_on_disk;
+  GenerationStore folder(folder_on_disk.path, 3);
+  folder.store(generation(5));
   auto other = generation(6);
   other.owner = "another";
-  EXPECT_EQ(folder.take(other), StoreResult::older);
+  EXPECT_EQ(folder.store(other), StoreResult::older);
   EXPECT_EQ(folder.newest_owned()->owner, "g1");
-  // Not even by the stamp that lies there: what it says of its tables may be something else.
+  // Another owner is rejected also with the stamp of the stored generation, as its tables may differ.
   other.stamp.version = 5;
-  EXPECT_EQ(folder.take(other), StoreResult::older);
+  EXPECT_EQ(folder.store(other), StoreResult::older);
   other.stamp.epoch = 2;
-  EXPECT_EQ(folder.take(other), StoreResult::swapped);
+  EXPECT_EQ(folder.store(other), StoreResult::swapped);
   EXPECT_EQ(folder.newest_owned()->owner, "another");
 }
 
-TEST(GenerationStore, AWayBackBringsBackNobodyWhoIsOut) {
-  TemporaryFolder place;
-  GenerationStore folder(place.path, 5);
-  folder.take(generation(1, {"a", "b"}));
-  folder.take(generation(2, {"a", "c"}));
+TEST(GenerationStore, RollbackNeverRestoresAnExcludedReplica) {
+  TemporaryFolder folder_on_disk;
+  GenerationStore folder(folder_on_disk.path, 5);
+  folder.store(generation(1, {"a", "b"}));
+  folder.store(generation(2, {"a", "c"}));
   auto newest = generation(3, {"a"});
-  newest.out = {"b"};
-  folder.take(newest);
+  newest.excluded = {"b"};
+  folder.store(newest);
   EXPECT_THROW(folder.roll_back(1, {}), net::Error);
   EXPECT_THROW(folder.roll_back(8, {}), net::Error);
   EXPECT_THROW(folder.roll_back(2, {"c"}), net::Error);
   folder.roll_back(2, {});
   EXPECT_EQ(folder.current()->stamp.version, 2U);
-  // A repeat of the newest does not undo it, and what is out by the newest stays out.
-  EXPECT_EQ(folder.take(newest), StoreResult::older);
-  EXPECT_EQ(folder.take(newest, true), StoreResult::swapped);
+  // Storing the newest generation again without `recall` does not undo the rollback. The replicas that the
+  // newest generation excludes stay excluded.
+  EXPECT_EQ(folder.store(newest), StoreResult::older);
+  EXPECT_EQ(folder.store(newest, true), StoreResult::swapped);
   EXPECT_EQ(folder.current()->stamp.version, 3U);
   folder.roll_back(2, {});
   EXPECT_THROW(folder.roll_back(1, {}), net::Error);
-  EXPECT_EQ(folder.take(generation(4, {"a"})), StoreResult::swapped);
+  EXPECT_EQ(folder.store(generation(4, {"a"})), StoreResult::swapped);
   EXPECT_EQ(folder.current()->stamp.version, 4U);
 }
 
-// --- The forms, read by code that shares nothing with their writer
+// --- The file formats, read by code that shares nothing with the renderer
 
 std::vector<Endpoint> endpoints() {
   return {{"u-1", "east", {"127.0.0.1", 9001}, 1.0},
@@ -179,7 +181,7 @@
   return weights;
 }
 
-TEST(Render, BothFormsHoldEveryLineAndTheTerms) {
+TEST(Render, BothFormatsHoldEveryEntryAndTheTerms) {
   const std::map<std::string, int> expected{
       {"u-1@127.0.0.1:9001", 1000}, {"u-2@[::1]:9002", 200}, {"u-3@127.0.0.3:9003", 1}};
   const Terms terms{12, 0.75, "none"};
@@ -200,53 +202,53 @@
   }
 }
 
-TEST(Render, NobodyIsATableToo) {
+TEST(Render, AnEmptyTableIsValid) {
   EXPECT_TRUE(fakes::read_envoy(render_envoy("x", {}, {})).targets.empty());
   const auto upstream = render_upstream("x", {}, {});
   EXPECT_EQ(fakes::read_upstream(upstream).kind, fakes::Resolved::Kind::answer);
   EXPECT_TRUE(fakes::read_upstream(upstream).targets.empty());
-  // nginx takes no upstream without a server.
+  // nginx rejects an upstream block without a server.
   EXPECT_NE(upstream.find(" down;"), std::string::npos);
 }
 
 // --- The lease
 
-TEST(GenerationShelf, OnlyWhoOrdersKeepsTheLease) {
-  TemporaryFolder place;
-  GenerationShelf shelf(place.path.string(), 3, false);
+TEST(LeasedStore, OnlyTheOwnerRenewsTheLease) {
+  TemporaryFolder folder_on_disk;
+  LeasedStore store(folder_on_disk.path.string(), 3, false);
   auto leased = generation(1);
   leased.lease_ms = 60;
-  shelf.put(leased, false, net::Steady::now());
-  EXPECT_FALSE(shelf.state().stale);
-  const auto stale_after = [&](auto speak) {
+  store.put(leased, false, net::Steady::now());
+  EXPECT_FALSE(store.state().stale);
+  const auto stale_after = [&](auto renew) {
     const auto end = net::Steady::now() + 150ms;
     while (net::Steady::now() < end) {
-      speak();
+      renew();
       std::this_thread::sleep_for(5ms);
-      if (shelf.state().stale) return true;
+      if (store.state().stale) return true;
     }
     return false;
   };
-  EXPECT_TRUE(stale_after([&] { shelf.renew(1, "another"); }));
-  // Through a shelf of another process, too.
-  GenerationShelf other(place.path.string(), 3, false);
+  EXPECT_TRUE(stale_after([&] { store.renew(1, "another"); }));
+  // A second store on the same folder, as another process has, can renew the lease too.
+  LeasedStore other(folder_on_disk.path.string(), 3, false);
   EXPECT_FALSE(other.state().stale);
   other.renew(1, "g1");
-  EXPECT_FALSE(shelf.state().stale);
+  EXPECT_FALSE(store.state().stale);
 }
 
 // --- The receiver
 
-TEST(Receiver, AnswersByWhatBecameOfAPush) {
-  TemporaryFolder place;
-  Receiver receiver({{"127.0.0.1", 0}, place.path.string(), 3, true, 50ms});
+TEST(Receiver, AnswersWithTheResultOfAPush) {
+  TemporaryFolder folder_on_disk;
+  Receiver receiver({{"127.0.0.1", 0}, folder_on_disk.path.string(), 3, true, 50ms});
   const auto send = [&](const std::string& method, const std::string& target, const std::string& body) {
     return http::fetch(receiver.address(), {method, target, "", "", body, true}, net::Steady::now() + 2s);
   };
   EXPECT_FALSE(read_state(send("GET", "/state", "").body).any);
-  // Its reader says nothing yet.
+  // The reader has not confirmed yet.
   EXPECT_EQ(send("PUT", "/generation", write_generation(generation(1))).status, 202U);
-  std::ofstream(place.path / "applied") << "1 1";
+  std::ofstream(folder_on_disk.path / "applied") << "1 1";
   EXPECT_EQ(send("PUT", "/generation", write_generation(generation(1))).status, 200U);
   EXPECT_EQ(send("PUT", "/generation", "{").status, 400U);
   EXPECT_EQ(send("PUT", "/generation", write_generation(generation(9, {"a"}, 0))).status, 409U);
@@ -258,8 +260,8 @@
   const auto state = read_state(send("GET", "/state", "").body);
   EXPECT_EQ(state.applied, (GenerationId{1, 1}));
   EXPECT_EQ(state.kept.size(), 1U);
-  fs::remove_all(place.path);
-  std::ofstream(place.path) << "a file where the folder was";
+  fs::remove_all(folder_on_disk.path);
+  std::ofstream(folder_on_disk.path) << "a file where the folder was";
   EXPECT_EQ(send("PUT", "/generation", write_generation(generation(2))).status, 507U);
 }
 
