--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -12,8 +12,8 @@
 namespace ospreypost::cli {
 
 int platform() {
-  // Blocks the signals before any thread starts, so that only sigwait() below receives them, also signals
-  // sent earlier.
+  // Blocks the signals before any thread starts, so that only sigwait() below receives them. A signal
+  // that arrives before sigwait() stays pending.
   sigset_t handled_signals;
   sigemptyset(&handled_signals);
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&handled_signals, signal);
--- a/src/files/generation.h
+++ b/src/files/generation.h
@@ -4,7 +4,7 @@
 //   FOLDER/gen-EPOCH-VERSION/manifest.json  lists the table files that are stored beside it
 //   FOLDER/newest                           after a rollback: the newest generation ever accepted
 //   FOLDER/applied                          the generation that the reader uses; written by the reader
-//   FOLDER/spoken                           touched by the control plane instance to renew the lease
+//   FOLDER/spoken                           touched at each renewal of the lease
 #pragma once
 
 #include <cstdint>
--- a/src/files/generation_store.cpp
+++ b/src/files/generation_store.cpp
@@ -129,7 +129,7 @@
     return StoreResult::swapped;
   }
   std::error_code error;
-  // An interrupted push may have left a folder of this name.
+  // An interrupted push may have left a folder for this generation.
   step("clear");
   fs::remove_all(folder, error);
   step("mkdir");
@@ -163,7 +163,7 @@
   return Newest{*stamp, generation ? generation->owner : ""};
 }
 
-// The file is not synced to disk: after a crash of the machine the lease need not count as renewed.
+// Does not sync the file to disk, as a renewal need not survive a crash of the machine.
 void GenerationStore::touch_lease_file() {
   const int file = ::open((path_ / "spoken").c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644);
   if (file < 0) return;
--- a/src/files/receiver.cpp
+++ b/src/files/receiver.cpp
@@ -110,7 +110,8 @@
     store_.touch_lease_file();
     lease_ = std::chrono::milliseconds(generation.lease_ms);
   }
-  // The reader polls the folder itself; the files are intact whenever it reads them.
+  // The reader polls the folder by itself, and finds intact files at any time. This thread waits until the
+  // reader writes the file `applied`.
   while (!is_applied(generation.stamp)) {
     if (net::Steady::now() >= deadline) return Delivery::unconfirmed;
     std::this_thread::sleep_for(kReaderPollInterval);
