--- a/bench/drain.cpp
+++ b/bench/drain.cpp
@@ -34,7 +34,7 @@
   auto config = bench::fleet_config(proxies);
   config.roll.path = (folder / "roll.json").string();
   config.dns.answers_per_second = 1e9;
-  config.dns.most_udp_bytes = 4096;
+  config.dns.max_udp_bytes = 4096;
   auto endpoints = bench::fleet_endpoints(replicas, config);
   bench::write_endpoint_file(config.roll.path, endpoints);
   control_plane::ControlPlaneServer service(config, std::make_shared<spdlog::logger>("none"));
--- a/bench/push.cpp
+++ b/bench/push.cpp
@@ -97,7 +97,7 @@
   config.roll.path = (base_folder / "roll.json").string();
   config.files.reader_confirms = false;
   config.dns.answers_per_second = 1e9;
-  config.dns.most_udp_bytes = 4096;
+  config.dns.max_udp_bytes = 4096;
   std::vector<std::size_t> file_proxies, dns_proxies;
   for (std::size_t proxy = 0; proxy < proxies; ++proxy)
     (proxy % 2 == 0 ? file_proxies : dns_proxies).push_back(proxy);
--- a/fuzz/receiver.cpp
+++ b/fuzz/receiver.cpp
@@ -28,7 +28,7 @@
   generation.stamp.epoch = 1 + part(0).size() % 3;
   generation.owner = part(1);
   generation.names = {part(2)};
-  generation.out = {part(3)};
+  generation.excluded = {part(3)};
   generation.files[part(4) + ".json"] = part(5);
   generation.files[part(6) + ".conf"] = bytes;
   return files::write_generation(generation);
--- a/src/checker/invariant_checker.cpp
+++ b/src/checker/invariant_checker.cpp
@@ -317,7 +317,7 @@
       limits.max_messages_per_window == 0 || max_messages <= limits.max_messages_per_window;
   return {
       "the queue short", few_messages && max_queued_entries <= limits.max_queued_entries,
-      text("%.0f entries queued at most, of %.0f allowed; ", max_queued_entries, limits.max_queued_entries) +
+      text("%.0f lines waiting at most, of %.0f allowed; ", max_queued_entries, limits.max_queued_entries) +
           std::to_string(max_messages) + " messages to one proxy in a window, of " +
           std::to_string(limits.max_messages_per_window) + " allowed"};
 }
